--- a/lanemux/admin/server.py
+++ b/lanemux/admin/server.py
@@ -45,8 +45,8 @@
         if calls:
             reply = answer(self._server.balancer, calls[0].method, calls[0].target)
             self._say(reply.status, [(b"Allow", reply.allow)] if reply.allow else [], reply.body)
-        elif self._reader.bad:
-            self._say(self._reader.bad, [], b"no call of ours\n")
+        elif self._reader.error_status:
+            self._say(self._reader.error_status, [], b"no call of ours\n")
 
     def _say(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         if self._transport is not None:
--- a/lanemux/eventloop/stream_socket.py
+++ b/lanemux/eventloop/stream_socket.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 # The kernel lacks memory for a moment: nothing was sent or read, and the connection is as it was.
-MOMENTARY = frozenset({errno.ENOBUFS, errno.ENOMEM})
+TRANSIENT_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})
 Defer = Callable[[int, int], None]  # a descriptor, and the events that are to be left out for a moment
 Failed = Callable[[str, OSError], None]  # a call's name, and its error
 
@@ -46,7 +46,7 @@
             raise self._seen("recv", error, selectors.EVENT_READ) from None
 
     def _seen(self, call: str, error: OSError, events: int) -> OSError:
-        if error.errno not in MOMENTARY:
+        if error.errno not in TRANSIENT_ERRORS:
             return error
         self._failed(call, error)
         self._defer(self.fileno(), events)
--- a/lanemux/net/client_connection.py
+++ b/lanemux/net/client_connection.py
@@ -27,9 +27,9 @@
     @property
     def ready(self) -> bool: ...
 
-    def take(self, client: ClientConnection, request: Message, received_ns: int) -> None: ...
+    def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None: ...
 
-    def gone(self, client: ClientConnection) -> None: ...
+    def client_gone(self, client: ClientConnection) -> None: ...
 
 
 class ClientConnection(asyncio.Protocol):
@@ -87,7 +87,7 @@
         """Answer what may have been read with a failure, and end the connection."""
         if self.busy:
             self._current = None
-            self._service.gone(self)
+            self._service.client_gone(self)
         self.turn_away(500)
 
     def _take_in(self, data: bytes) -> None:
@@ -99,10 +99,10 @@
         received, began = now_ns(), self._reader.begun
         requests = self._reader.feed(data)
         if self.busy:
-            if requests or self._reader.begun or self._reader.bad:  # an empty line is none of these
+            if requests or self._reader.begun or self._reader.error_status:  # an empty line is none of these
                 self._pipelined()
-        elif self._reader.bad:
-            self.turn_away(self._reader.bad)
+        elif self._reader.error_status:
+            self.turn_away(self._reader.error_status)
         elif len(requests) > 1 or (requests and self._reader.begun):
             self.turn_away(400)
         elif requests:
@@ -113,9 +113,9 @@
     def _pipelined(self) -> None:
         """More came while a request is in hand: neither is served."""
         self._current = None
-        self._service.gone(self)
+        self._service.client_gone(self)
         if self._writable is not None:
-            self.cut()
+            self.abort_stream()
         else:
             self.turn_away(400)
 
@@ -127,7 +127,7 @@
         self._server.forget(self)
         if self.busy:
             self._current = None
-            self._service.gone(self)
+            self._service.client_gone(self)
 
     def pause_writing(self) -> None:
         """It does not read its answers: no more requests of it, and its time runs."""
@@ -152,7 +152,7 @@
         if request.target.partition(b"?")[0] == READY_PATH:
             self.answer(200 if self._service.ready else 503)
         else:
-            self._service.take(self, request, received_ns)
+            self._service.handle_request(self, request, received_ns)
 
     def _peer_has_closed(self) -> bool:
         if self._transport is None:
@@ -180,7 +180,7 @@
         else:
             self._server.mark(self)
 
-    def begin(self, headers: Headers, length: int | None, writable: Callable[[], None]) -> None:
+    def begin_stream(self, headers: Headers, length: int | None, writable: Callable[[], None]) -> None:
         """The current request's 200, whose body follows in pieces; `writable` is told when all written is gone."""
         if self._current is None or self._transport is None:
             return
@@ -195,14 +195,14 @@
         self._transport.set_write_buffer_limits(high=0)  # to be told when all that was written has gone
         self._transport.write(write_stream_head(200, headers, length, self._last, self._chunked))
 
-    def pass_on(self, data: bytes) -> bool:
+    def write_piece(self, data: bytes) -> bool:
         """One piece of the body; True if it has gone out already."""
         if self._transport is None or self._writable is None:
             return True
         self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
         return self._transport.get_write_buffer_size() == 0
 
-    def end_answer(self) -> None:
+    def end_stream(self) -> None:
         """All of the body has been passed on."""
         if self._current is None or self._transport is None:
             return
@@ -215,7 +215,7 @@
         else:
             self._server.mark(self)
 
-    def cut(self) -> None:
+    def abort_stream(self) -> None:
         """The answer can't be finished: its end is missing, by which the client can tell."""
         self._current = self._writable = None
         self._server.forget(self)
--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -13,7 +13,7 @@
 from lanemux.core.membership import BadList, Listing, Membership
 from lanemux.core.source import Heard
 from lanemux.net.http import Message, read_json, write_request
-from lanemux.net.upstream import Exchange, Hub, Pool
+from lanemux.net.upstream import Exchange, Pool, PoolManager
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +50,7 @@
 
     def __init__(self, address: Address, membership: Membership) -> None:
         self.address = address
-        self._pool = Pool(Hub(2, 2.0, 0.0, MAX_LIST), address)
+        self._pool = Pool(PoolManager(2, 2.0, 0.0, MAX_LIST), address)
         self._host = f"{address[0]}:{address[1]}".encode()
         self._membership = membership
 
--- a/lanemux/net/frontend.py
+++ b/lanemux/net/frontend.py
@@ -17,7 +17,7 @@
 FLUSH_LOOK_S = 0.01
 UNUSED_S = 0.7  # a connection idle for so long is seldom used: a request hardly crosses its closing
 EASE_LOOK_S = 0.05  # how often it is looked for connections that have become idle, where clients are sent away
-HASTE_S = 1.0  # before that, who owes a request is waited for no longer
+FORCED_CLOSE_MARGIN_S = 1.0  # before that, who owes a request is waited for no longer
 
 
 class Frontend:
@@ -36,11 +36,11 @@
         return self.readiness.open and self._loop.time() >= self._rested_s
 
     @property
-    def away(self) -> bool:
+    def refusing(self) -> bool:
         """Is whoever still comes refused at once?"""
         return self.readiness.phase is Phase.AWAY
 
-    def rest(self, for_s: float) -> None:
+    def delay_readiness(self, for_s: float) -> None:
         """Not ready for so long from now on, whatever else."""
         self._rested_s = self._loop.time() + for_s
 
@@ -81,7 +81,7 @@
             self._easing.cancel()
             self._easing = None
 
-    async def close_in_order(self, end_s: float) -> None:
+    async def close_gracefully(self, end_s: float) -> None:
         """The process leaves, by `end_s` of the loop's clock: take what still comes, then nobody any more."""
         self.server.draining = True
         self.readiness.end()
@@ -90,9 +90,9 @@
             await self._hand_over(end_s)
             return
         await asyncio.sleep(LATE_ARRIVALS_S)
-        await self._accept_last(end_s - HASTE_S)
+        await self._accept_last(end_s - FORCED_CLOSE_MARGIN_S)
         self.server.stop_listening()
-        await self._read_last(end_s - HASTE_S)
+        await self._read_last(end_s - FORCED_CLOSE_MARGIN_S)
 
     async def _accept_last(self, latest_s: float) -> None:
         """After a standstill, or while accepting fails, more may wait than one turn accepts."""
@@ -111,7 +111,7 @@
         since a request that crosses the closing of its connection has to be asked again."""
         self.server.stop_listening()
         await asyncio.sleep(LAST_READ_S)
-        while self.server.waited_for and self._loop.time() < end_s - HASTE_S:
+        while self.server.waited_for and self._loop.time() < end_s - FORCED_CLOSE_MARGIN_S:
             await self.server.close_unused(UNUSED_S)
             await asyncio.sleep(EASE_LOOK_S)
         self.server.close_idle(unread_too=True)
--- a/lanemux/net/http.py
+++ b/lanemux/net/http.py
@@ -9,9 +9,9 @@
 import httptools
 
 MAX_BODY = 64 * 1024  # bytes of a request's body
-MAX_ANSWER = 1024 * 1024  # of an answer's: upstreams send some of 400 KB, though 64 are agreed
+MAX_RESPONSE = 1024 * 1024  # of an answer's: upstreams send some of 400 KB, though 64 are agreed
 MAX_STREAM = 64 * 1024 * 1024  # of one that is passed on as it comes: twice what is promised; 3 GB are none
-KEPT_ANSWER = 64 * 1024  # so much of an answer is taken whole, and may be made by another attempt
+MAX_BUFFERED_RESPONSE = 64 * 1024  # so much of an answer is taken whole, and may be made by another attempt
 MAX_HEAD = 16 * 1024  # bytes of a head, or of a body's trailers with it
 FRAMING = 8  # times its body that a chunked message may take: a byte a chunk takes six
 MOST_LOAD = 1e12  # of any figure in a load report; what is above has no meaning
@@ -85,7 +85,7 @@
         self._fed = 0  # bytes of a message that is not whole yet, its framing included
         self._announced = 0  # 1xx answers ahead of the one that counts
         self.begun = False  # a message has begun that is not whole yet
-        self.bad = 0  # what to tell a peer that sent what HTTP or our limits do not allow; reading is over
+        self.error_status = 0  # what to tell a peer that sent what HTTP or our limits do not allow; reading is over
         self._fresh()
 
     def _fresh(self) -> None:
@@ -106,7 +106,7 @@
     @property
     def ends_with_connection(self) -> bool:
         """The answer that is coming is whole when its sender ends the connection (RFC 9112, 6.3)."""
-        return self._in_body and self._length is None and not self._chunked and not self.bad
+        return self._in_body and self._length is None and not self._chunked and not self.error_status
 
     def pass_on(self) -> None:
         """Pass on what is held back, and all that still comes."""
@@ -141,14 +141,14 @@
             self._refuse(431)  # a head without end must not fill the memory
         elif self._fed > MAX_HEAD + FRAMING * (MAX_STREAM if self._streaming else self._max_body):
             self._refuse(413)  # nor must chunk extensions without end keep the parser busy
-        if self.bad:
+        if self.error_status:
             self._fresh()
             self.head, self.pieces = None, []
         ready, self._ready = self._ready, []
         return ready
 
     def _refuse(self, status: int) -> None:
-        self.bad = self.bad or status
+        self.error_status = self.error_status or status
 
     # -- called by httptools --
 
@@ -162,7 +162,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         self._count(len(name) + len(value) + 4)
         # Behind a chunked body come trailers. They must not pass for headers that the head did not have.
-        if not self._in_body and not self.bad:
+        if not self._in_body and not self.error_status:
             self._headers.append((name.lower(), value.strip(b" \t")))  # cut in two reads, it keeps the space behind
 
     def _count(self, size: int) -> None:
@@ -183,7 +183,7 @@
                 self._chunked = True
                 if value.lower() != b"chunked":
                     self._refuse(400)  # a coding that would have to be undone
-        if self._long and self._length is not None and self._length > KEPT_ANSWER and not self.bad:
+        if self._long and self._length is not None and self._length > MAX_BUFFERED_RESPONSE and not self.error_status:
             self._begin_stream()
 
     @property
@@ -205,13 +205,13 @@
             return
         if len(self._body) + len(data) > self._max_body:
             self._refuse(413)
-        if not self.bad:
+        if not self.error_status:
             self._body += data
-            if len(self._body) > KEPT_ANSWER and self._long:
+            if len(self._body) > MAX_BUFFERED_RESPONSE and self._long:
                 self._begin_stream()
 
     def on_message_complete(self) -> None:
-        if self.bad:
+        if self.error_status:
             return
         message = Message(
             self._headers,
@@ -267,7 +267,7 @@
     return _head(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *extra], body, True)
 
 
-def whole_number(text: bytes) -> int | None:
+def parse_decimal(text: bytes) -> int | None:
     """A header's plain decimal number; None for anything else, also a number of absurd length."""
     return int(text) if text.isdigit() and len(text) <= 15 else None
 
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -18,13 +18,13 @@
 from lanemux.net.config import Config
 from lanemux.net.decisions import Decisions, Module
 from lanemux.net.frontend import Frontend
-from lanemux.net.http import Headers, Message, load_report, whole_number, write_request
+from lanemux.net.http import Headers, Message, load_report, parse_decimal, write_request
 from lanemux.net.peers import Peers
 from lanemux.net.plugin_host import PluginHost
 from lanemux.net.probes import Probes
 from lanemux.net.server import Server
 from lanemux.net.startup import BackgroundAcquisition, acquire
-from lanemux.net.upstream import Begin, Exchange, Hub, PassOn
+from lanemux.net.upstream import BodySink, Exchange, OnStreamStart, PoolManager
 from lanemux.net.upstream_set import UpstreamSet
 
 log = logging.getLogger(__name__)
@@ -93,7 +93,7 @@
         self._sweep: asyncio.TimerHandle | None = None
         room = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
         self.tally = Tally(config.settings.classes)
-        self._hub = Hub(
+        self._hub = PoolManager(
             room, limits.connect_timeout_ns / SECOND, limits.conn_idle_ns / SECOND, stream=True, counter=self.tally
         )
         self._passing: dict[str, Call] = {}  # whose answers pass in pieces
@@ -114,7 +114,7 @@
         """Take up the known list, then open to clients, though ready only after a rest; gives the port.
 
         Waits for the clients' address until it can be had; Unobtainable where that can never be."""
-        self.frontend.rest(rest_s)
+        self.frontend.delay_readiness(rest_s)
         self.upstream_set.start()
         await self._open_peers()
         if self.config.settings.discovery_push:
@@ -145,7 +145,7 @@
 
     def _sweep_idle(self) -> None:
         self._sweep = self._loop.call_later(SWEEP_S, self._sweep_idle)
-        self._hub.expire()
+        self._hub.close_expired()
         self.upstream_set.sweep()
         stale = now_ns() - PASSING_IDLE_NS
         for call in [c for c in self._passing.values() if c.moved_ns < stale]:
@@ -187,7 +187,7 @@
         end = self._loop.time() + LEAVE_S
         self._stopping = True
         self.plugins.leave()
-        await self.frontend.close_in_order(end)
+        await self.frontend.close_gracefully(end)
         if self._calls:
             self._quiet.clear()  # it may have been quiet before the last ones came
             try:
@@ -197,7 +197,7 @@
         await self.frontend.flush(end)
         self.close()
         await self.upstream_set.source.stopped()
-        await self._hub.stopped()
+        await self._hub.wait_for_cancelled()
         await asyncio.sleep(0)  # closed transports end in the loop's next turn
 
     def held(self) -> dict[str, int]:
@@ -208,8 +208,8 @@
             "ids": len(self._ids),
             "events": len(self._events),
             "probes": len(self._probes),
-            "connections": self.server.held,
-            "attempts": self._hub.open - len(self._hub.idle),
+            "connections": self.server.connection_count,
+            "attempts": self._hub.open_connections - len(self._hub.idle),
         }
 
     def close(self) -> None:
@@ -302,11 +302,11 @@
 
     # -- requests --
 
-    def take(self, client: ClientConnection, request: Message, received_ns: int) -> None:
+    def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None:
         """A client's request: refused here only if it can't be understood or there is no room."""
         name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
         cls = self.config.settings.classes.get(name)
-        wait_ms = whole_number(request.header(b"req-deadline-ms"))
+        wait_ms = parse_decimal(request.header(b"req-deadline-ms"))
         ids = [value for key, value in request.headers if key == b"req-id"]
         if request.method not in METHODS.values():
             client.answer(405, [(b"Allow", b"GET, POST")])
@@ -318,7 +318,7 @@
             client.answer(400)  # an upstream reads no body there and would take it for the next request
         elif ids[0] in self._ids:
             client.answer(409)  # whose answer would it be?
-        elif self.frontend.away or self._limits.max_open and len(self._calls) >= self._limits.max_open:
+        elif self.frontend.refusing or self._limits.max_open and len(self._calls) >= self._limits.max_open:
             self.tally.ended(name, 503)
             client.answer(503, [(b"Retry-After", FULL_RETRY_S)])
         else:
@@ -333,7 +333,7 @@
         call.timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._out_of_time, call)
         cookies = (c.strip() for c in request.header(b"cookie").decode("latin-1").split(";"))
         key = next((c[5:] for c in cookies if c.startswith("user=")), "")
-        cost_us = whole_number(request.header(b"req-cost")) or 0
+        cost_us = parse_decimal(request.header(b"req-cost")) or 0
         self.feed(
             api.Arrival(
                 call.id,
@@ -350,7 +350,7 @@
         self._finish(call, 504)
         self.feed(api.ClientGone(call.id))
 
-    def gone(self, client: ClientConnection) -> None:
+    def client_gone(self, client: ClientConnection) -> None:
         """The client has closed its connection: nobody waits for the answer."""
         call = self._by_client.get(client)
         if call is not None:
@@ -376,9 +376,9 @@
             if not call.moved_ns:
                 call.client.answer(status, headers, body)
             elif status == 200:
-                call.client.end_answer()
+                call.client.end_stream()
             else:
-                call.client.cut()
+                call.client.abort_stream()
 
     def _drop(self, call: Call) -> None:
         """Forget the request and call off what is out for it."""
@@ -421,8 +421,8 @@
             pool,
             lambda: self._attempt(call.request, end - now_ns()),
             self._when_ended(call, number, action.upstream, now),
-            wrote=self._forwarded,
-            begin=self._when_begun(call, number, action.upstream, now),
+            on_written=self._forwarded,
+            on_stream_start=self._when_begun(call, number, action.upstream, now),
         )
         call.out.start(end / SECOND)
 
@@ -438,7 +438,7 @@
         self, call: Call, number: int, upstream: int, sent_ns: int
     ) -> Callable[[api.Result, Message | None], None]:
         def ended(result: api.Result, response: Message | None) -> None:
-            held_here_ns = int(call.out.held_here_s * SECOND) if call.out is not None else 0
+            held_here_ns = int(call.out.local_delay_s * SECOND) if call.out is not None else 0
             call.out = None
             took = now_ns() - sent_ns - held_here_ns
             if response is not None:
@@ -453,10 +453,10 @@
 
         return ended
 
-    def _when_begun(self, call: Call, number: int, upstream: int, sent_ns: int) -> Begin:
+    def _when_begun(self, call: Call, number: int, upstream: int, sent_ns: int) -> OnStreamStart:
         """What takes an answer that is passed on as it comes: one piece is on its way at a time."""
 
-        def begun(exchange: Exchange, head: Message) -> PassOn | None:
+        def begun(exchange: Exchange, head: Message) -> BodySink | None:
             if call.over:
                 return None
             if call.timer is not None:
@@ -466,14 +466,14 @@
 
             def writable() -> None:
                 call.moved_ns = now_ns()
-                exchange.hold(False)
+                exchange.set_paused(False)
 
             def pass_on(data: bytes) -> None:
                 call.moved_ns = now_ns()
-                if not call.client.pass_on(data):
-                    exchange.hold(True)
+                if not call.client.write_piece(data):
+                    exchange.set_paused(True)
 
-            call.client.begin([(k, v) for k, v in head.end_to_end() if k != b"srv-load"], head.length, writable)
+            call.client.begin_stream([(k, v) for k, v in head.end_to_end() if k != b"srv-load"], head.length, writable)
             self.feed(api.AnswerBegun(call.id, number, upstream, call.moved_ns - sent_ns))
             return pass_on
 
@@ -492,7 +492,7 @@
     def _call_off_waiting(self) -> None:
         """No first byte may go to an upstream that drains, is gone or has moved, also not when its connection is up."""
         for call in list(self._calls.values()):
-            if call.out is not None and call.out.astray:
+            if call.out is not None and call.out.target_stale:
                 call.out.finish(api.Result.MOOT)
 
     def _peer_message(self, sender: int, data: bytes) -> None:
--- a/lanemux/net/probes.py
+++ b/lanemux/net/probes.py
@@ -8,7 +8,7 @@
 from lanemux import interface as api
 from lanemux.core.clock import now_ns
 from lanemux.net.http import Message, load_report, write_request
-from lanemux.net.upstream import Exchange, Hub
+from lanemux.net.upstream import Exchange, PoolManager
 
 PROBE_TIMEOUT_S = 0.05
 MAX_PROBES = 256  # out at once
@@ -18,7 +18,7 @@
 class Probes:
     """The probes that are out; `feed` takes what each came to."""
 
-    def __init__(self, hub: Hub, path: bytes, feed: Callable[[api.ProbeResult], None]) -> None:
+    def __init__(self, hub: PoolManager, path: bytes, feed: Callable[[api.ProbeResult], None]) -> None:
         self._hub, self._path, self._feed = hub, path, feed
         self._out: dict[Exchange, None] = {}
 
--- a/lanemux/net/server.py
+++ b/lanemux/net/server.py
@@ -56,19 +56,19 @@
         self.system = system
         self._connections: dict[ClientConnection, None] = {}  # in the order in which they came
         self._idle = ConnectionTable()  # between requests
-        self._awaited = ConnectionTable()  # a request of theirs is due: the first one, or one that has begun
-        self._leaving = ConnectionTable()  # closed or turned away, their last bytes still on the way
+        self._awaiting_request = ConnectionTable()  # a request of theirs is due: the first one, or one that has begun
+        self._lingering = ConnectionTable()  # closed or turned away, their last bytes still on the way
         self._flushing = ConnectionTable()  # closed, but a good part of an answer is still to be written
-        self._adopting: dict[asyncio.Task[object], None] = {}
+        self._attaching: dict[asyncio.Task[object], None] = {}
         self._listener: Listener | None = None
-        self._entered = 0  # connections so far
+        self._accepted_total = 0  # connections so far
         self._accepting = False
         self._opening: asyncio.TimerHandle | None = None  # an inherited listener is not accepted from yet
         self._ticking: asyncio.TimerHandle | None = None
         self._tick_due = 0.0  # by the loop's clock
         self._awake_from = -FRESH_S  # it woke from a standstill then
         self._standstill_s = 0.0  # which had lasted so long at the most
-        self._accept_again: asyncio.TimerHandle | None = None  # accepting has failed, and rests until then
+        self._accept_retry: asyncio.TimerHandle | None = None  # accepting has failed, and rests until then
         self._evicted_for_accept = False  # a connection made place for one that could not be accepted
         self._not_accepting_since: float | None = None  # connections may wait in the backlog since then
         self._deaf_since_s: float | None = None  # it should accept and does not, since then
@@ -110,15 +110,15 @@
     def _tick(self) -> None:
         try:
             self._look_at_times()
-            self._look_at_listening()
+            self._check_listener()
         finally:
             if self._ticking is None:
                 self._tick_again(TICK_S)
 
-    def _look_at_listening(self) -> None:
+    def _check_listener(self) -> None:
         """A balancer that should accept and does not has lost its registration somewhere: it is made anew."""
         now_s = asyncio.get_running_loop().time()
-        rests = self._opening is not None or self._accept_again is not None or len(self._connections) >= self._capacity
+        rests = self._opening is not None or self._accept_retry is not None or len(self._connections) >= self._capacity
         if self._listener is None or self._accepting or rests:
             self._deaf_since_s = None
         elif self._deaf_since_s is None:
@@ -137,14 +137,14 @@
         if self._put_off:
             self._tick_again(FRESH_S)
             return
-        while (client := self._awaited.oldest(REQUEST_TIMEOUT_S)) is not None:
+        while (client := self._awaiting_request.oldest(REQUEST_TIMEOUT_S)) is not None:
             if client.receiving:
                 client.turn_away(408)
             else:
                 client.close()
         while (client := self._idle.oldest(IDLE_TIMEOUT_S)) is not None:
             client.close()
-        for table, limit_s in ((self._leaving, LINGER_S), (self._flushing, FLUSH_S)):
+        for table, limit_s in ((self._lingering, LINGER_S), (self._flushing, FLUSH_S)):
             while (client := table.oldest(limit_s)) is not None:
                 self.forget(client)
                 client.abort()
@@ -161,7 +161,7 @@
         self._resume()
 
     def _resume(self) -> None:
-        if self._listener is not None and not self._accepting and self._accept_again is None:
+        if self._listener is not None and not self._accepting and self._accept_retry is None:
             asyncio.get_running_loop().add_reader(self._listener, self._accept)
             self._accepting = True
 
@@ -176,20 +176,20 @@
 
     def _accept(self, most: int = 0) -> bool:
         """Take in connections that have come up: so many (0: a turn's) at the most. True if none waits any more."""
-        admission, before = self._admission, self._entered
+        admission, before = self._admission, self._accepted_total
         if admission is None:
             return self._accept_connections(most or ACCEPTS_PER_TURN)
         none_waits = self._accept_connections(max(most, admission.begin_accepting(now_ns())))
-        admission.end_accepting(self._entered - before, now_ns())
+        admission.end_accepting(self._accepted_total - before, now_ns())
         return none_waits
 
-    def _accept_connections(self, most: int) -> bool:
+    def _accept_connections(self, limit: int) -> bool:
         assert self._listener is not None
         failed, accepted_some = 0, False
-        for _ in range(most):
+        for _ in range(limit):
             if len(self._connections) >= self._capacity and self._dispensable() is None:
                 # Where all are busy, the first to end lets the next one in.
-                self._pause(FRESH_S if self._awaited else None)
+                self._pause(FRESH_S if self._awaiting_request else None)
                 return False
             try:
                 accepted = self._listener.accept()
@@ -209,7 +209,7 @@
             self._evicted_for_accept = False
             if len(self._connections) >= self._capacity:
                 self._evict()  # not before one has come: it might be the last that came
-            self._adopt(accepted)
+            self._register(accepted)
         return False
 
     def _accept_later(self, error: OSError) -> None:
@@ -221,30 +221,30 @@
         log.warning("accept: %s", error)
         self._evicted_for_accept = False
         self._pause()
-        if self._accept_again is None:
-            self._accept_again = asyncio.get_running_loop().call_later(ACCEPT_PAUSE_S, self._resume_after_failure)
+        if self._accept_retry is None:
+            self._accept_retry = asyncio.get_running_loop().call_later(ACCEPT_PAUSE_S, self._resume_after_failure)
 
     def _resume_after_failure(self) -> None:
-        self._accept_again = None
+        self._accept_retry = None
         self._resume()
 
     def _dispensable(self) -> ClientConnection | None:
         """Who makes place for a new one: first who is leaving, then who owes a request, then who is idle."""
         if self._stood_still():
-            return self._leaving.oldest()
-        owing = self._leaving.oldest() or self._awaited.oldest(FRESH_S)
-        idle = self._idle.oldest(REQUEST_TIMEOUT_S if self._awaited else 0.0)
+            return self._lingering.oldest()
+        owing = self._lingering.oldest() or self._awaiting_request.oldest(FRESH_S)
+        idle = self._idle.oldest(REQUEST_TIMEOUT_S if self._awaiting_request else 0.0)
         return owing or (idle if idle is not None and not idle.flushing else None)
 
-    def _adopt(self, accepted: socket.socket) -> None:
+    def _register(self, accepted: socket.socket) -> None:
         client = ClientConnection(self, self._service)
         client.unread_at_most_s = self.unread_at_most_s()
         if self._not_accepting_since is not None:
             waited_s = asyncio.get_running_loop().time() - self._not_accepting_since
             client.unread_at_most_s = max(client.unread_at_most_s, waited_s)
         self._connections[client] = None
-        self._awaited.add(client)
-        self._entered += 1
+        self._awaiting_request.add(client)
+        self._accepted_total += 1
         if self._admission is None or not self._enter(client, accepted, self._admission):
             self._attach_soon(client, accepted)
 
@@ -273,8 +273,8 @@
 
     def _attach_soon(self, client: ClientConnection, accepted: socket.socket) -> None:
         task: asyncio.Task[object] = asyncio.get_running_loop().create_task(self._attach(client, accepted))
-        self._adopting[task] = None
-        task.add_done_callback(lambda task: self._adopting.pop(task, None))
+        self._attaching[task] = None
+        task.add_done_callback(lambda task: self._attaching.pop(task, None))
 
     async def _attach(self, client: ClientConnection, accepted: socket.socket) -> None:
         try:
@@ -292,7 +292,7 @@
 
     def mark(self, client: ClientConnection) -> None:
         """The connection has become busy or idle."""
-        self._awaited.discard(client)
+        self._awaiting_request.discard(client)
         self._idle.discard(client)
         if not client.busy:
             self._idle.add(client)
@@ -302,16 +302,16 @@
         """A request has begun to come: the rest is due."""
         if client in self._idle:  # for the first request, the time runs from connecting
             self._idle.discard(client)
-            self._awaited.add(client)
+            self._awaiting_request.add(client)
 
     def leave(self, client: ClientConnection, flushing: bool = False) -> None:
         if client in self._pending:
             self.forget(client)  # nothing was said on it: there is nobody to wait for
             return
-        self._awaited.discard(client)
+        self._awaiting_request.discard(client)
         self._idle.discard(client)
         if client in self._connections:
-            (self._flushing if flushing else self._leaving).add(client)
+            (self._flushing if flushing else self._lingering).add(client)
 
     @property
     def crowded(self) -> bool:
@@ -320,9 +320,9 @@
         return len(self._connections) - len(self._pending) > CROWDED_SHARE * self._capacity
 
     @property
-    def held(self) -> int:
+    def connection_count(self) -> int:
         """Connections, and those that only come up."""
-        return len(self._connections) + len(self._adopting)
+        return len(self._connections) + len(self._attaching)
 
     @property
     def flushing(self) -> bool:
@@ -335,7 +335,7 @@
             asyncio.get_running_loop().remove_reader(waiting)
             waiting.close()
         self._connections.pop(client, None)
-        for table in (self._idle, self._awaited, self._leaving, self._flushing):
+        for table in (self._idle, self._awaiting_request, self._lingering, self._flushing):
             table.discard(client)
         self._resume()
 
@@ -350,11 +350,11 @@
 
     def close_idle(self, unread_too: bool) -> bool:
         """Close all on which no whole request has come, those with unread bytes only if told so; True: none is left."""
-        for table in (self._idle, self._awaited):
+        for table in (self._idle, self._awaiting_request):
             for client in table.members():
                 if unread_too or not client.has_unread:
                     client.close()
-        return not self._idle and not self._awaited
+        return not self._idle and not self._awaiting_request
 
     async def close_unused(self, idle_s: float) -> None:
         """Close all on which no request is open or comes, and none has been for so long, a few in a turn of the loop.
@@ -363,7 +363,7 @@
         Between two turns all sockets are looked at: a request that has come by then is read, and its connection is
         left alone. Closing all at once meets those that come meanwhile."""
         closed = 0
-        for table, age_s in ((self._idle, idle_s), (self._awaited, SILENT_S)):
+        for table, age_s in ((self._idle, idle_s), (self._awaiting_request, SILENT_S)):
             for client in table.members():
                 old = asyncio.get_running_loop().time() - client.since >= age_s
                 if old and client in table and not client.receiving:
@@ -375,7 +375,7 @@
     @property
     def waited_for(self) -> int:
         """Connections on which a request may still come."""
-        return len(self._idle) + len(self._awaited) + len(self._adopting)
+        return len(self._idle) + len(self._awaiting_request) + len(self._attaching)
 
     def accept_last(self) -> bool:
         """Accept whoever has come up before the listener closes: closing would reset them, requests and all.
@@ -386,9 +386,9 @@
     def stop_listening(self) -> None:
         if self._opening is not None:
             self._opening.cancel()
-        if self._accept_again is not None:
-            self._accept_again.cancel()
-            self._accept_again = None
+        if self._accept_retry is not None:
+            self._accept_retry.cancel()
+            self._accept_retry = None
         self._pause()
         if self._listener is not None:
             self._listener.close()
@@ -399,7 +399,7 @@
         self.stop_listening()
         if self._ticking is not None:
             self._ticking.cancel()
-        for task in self._adopting:
+        for task in self._attaching:
             task.cancel()
         for client in list(self._connections):
             client.close()
--- a/lanemux/net/upstream.py
+++ b/lanemux/net/upstream.py
@@ -12,19 +12,19 @@
 from lanemux.core.address import Address
 from lanemux.core.failures import Backoff, FailureCounter, is_local, may_pass_soon, name_of
 from lanemux.interface import Result
-from lanemux.net.http import MAX_ANSWER, Message, MessageReader
+from lanemux.net.http import MAX_RESPONSE, Message, MessageReader
 
 log = logging.getLogger(__name__)
 
 Render = Callable[[], bytes]
-Done = Callable[[Result, Message | None], None]
-PassOn = Callable[[bytes], None]
-Begin = Callable[["Exchange", Message], PassOn | None]  # an answer comes that is too long to be taken whole
+OnDone = Callable[[Result, Message | None], None]
+BodySink = Callable[[bytes], None]
+OnStreamStart = Callable[["Exchange", Message], BodySink | None]  # an answer comes that is too long to be taken whole
 
 HELD_BACK_S = 0.02  # of an answer whose length is not told, so long: a spoilt one is mostly found out by then
-PIECE = 64 * 1024  # bytes read at once at the most, and so passed on
-LEAST_PIECE = 4 * 1024  # below that, reading costs more than it carries
-PASSING_BYTES = 8 * 1024 * 1024  # of all answers that are passed on at once
+MAX_PIECE = 64 * 1024  # bytes read at once at the most, and so passed on
+MIN_PIECE = 4 * 1024  # below that, reading costs more than it carries
+STREAMING_BYTES = 8 * 1024 * 1024  # of all answers that are passed on at once
 
 IDLE_DEFAULT_S = 10.0  # where the settings do not say how long an upstream keeps a connection
 IDLE_PART = 0.8  # of that time; later, closing and the next request may cross
@@ -42,28 +42,28 @@
         self,
         pool: Pool,
         data: bytes | Render,
-        done: Done,
+        done: OnDone,
         spare: int = 0,
-        wrote: Callable[[], None] = lambda: None,
-        begin: Begin | None = None,
+        on_written: Callable[[], None] = lambda: None,
+        on_stream_start: OnStreamStart | None = None,
     ) -> None:
         """`data`: its bytes, or what gives them at the moment of writing. `wrote` is told, once, when the last byte is
         written. `begin` takes an answer that is passed on as it comes, and gives what takes its pieces; without it,
         such an answer is given up."""
         self.pool = pool
-        self.wrote = wrote
-        self._begin = begin
-        self._pass_on: PassOn | None = None
+        self.on_written = on_written
+        self._on_stream_start = on_stream_start
+        self._pass_on: BodySink | None = None
         self.spare = spare  # places that it must leave to others
         self.render: Render = data if callable(data) else lambda: data
         self.over = False
         self._done = done
         self._connection: Connection | None = None
-        self._coming: Connection | None = None
+        self._connecting: Connection | None = None
         self._opening: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._never_asked = False  # this machine can't connect: its upstream does not know of it
-        self.held_here_s = 0.0  # it waited so long for this machine to begin connecting
+        self.local_delay_s = 0.0  # it waited so long for this machine to begin connecting
 
     @property
     def waiting(self) -> bool:
@@ -71,10 +71,10 @@
         return not self.over and self._connection is None
 
     @property
-    def astray(self) -> bool:
+    def target_stale(self) -> bool:
         """It waits for a connection to where its upstream no longer is, or to one that may get nothing new."""
         return self.waiting and (
-            not self.pool.ready or (self._coming is not None and self._coming.address != self.pool.address)
+            not self.pool.ready or (self._connecting is not None and self._connecting.address != self.pool.address)
         )
 
     def start(self, end_s: float | None) -> None:
@@ -84,13 +84,13 @@
         connection = self.pool.reuse()
         if connection is not None:
             self.carry(connection)
-        elif not self.pool.hub.make_place(self.spare):
+        elif not self.pool.manager.make_place(self.spare):
             asyncio.get_running_loop().call_soon(self.finish, Result.CONNECT_FAILED)
         else:
             # Its place is taken here: what is begun in the same turn must find it taken.
-            self._coming = Connection(self.pool, self.pool.address)
-            self._opening = asyncio.get_running_loop().create_task(self._open(self._coming))
-            self.pool.hub.own(self._opening)
+            self._connecting = Connection(self.pool, self.pool.address)
+            self._opening = asyncio.get_running_loop().create_task(self._open(self._connecting))
+            self.pool.manager.own(self._opening)
 
     def _time_out(self) -> None:
         self.finish(Result.MOOT if self._never_asked and self.waiting else Result.TIMEOUT)
@@ -99,9 +99,9 @@
         """Nothing of it went out, by no fault of the upstream's: it is sent on a new connection, a moment later."""
         self._connection = None
         self._never_asked = True
-        self._coming = Connection(self.pool, self.pool.address)
-        self._opening = asyncio.get_running_loop().create_task(self._open(self._coming, LAST_CONNECT_PAUSE_S))
-        self.pool.hub.own(self._opening)
+        self._connecting = Connection(self.pool, self.pool.address)
+        self._opening = asyncio.get_running_loop().create_task(self._open(self._connecting, LAST_CONNECT_PAUSE_S))
+        self.pool.manager.own(self._opening)
 
     async def _open(self, connection: Connection, pause_s: float = 0.0) -> None:
         try:
@@ -114,7 +114,7 @@
             log.exception("connecting failed")
             self._connect_failed()
         else:
-            self._opening = self._coming = None
+            self._opening = self._connecting = None
             self.carry(connection)
 
     def _connect_failed(self) -> None:
@@ -124,22 +124,22 @@
     async def _connect(self, connection: Connection) -> None:
         """Connect. What fails on this machine is tried again for as long as the exchange has time: it is no answer of
         the upstream's. Where there is no way there, only for as long as connecting may take."""
-        hub, loop = self.pool.hub, asyncio.get_running_loop()
+        manager, loop = self.pool.manager, asyncio.get_running_loop()
         backoff = Backoff(FIRST_CONNECT_PAUSE_S, LAST_CONNECT_PAUSE_S)
         begun_s = loop.time()
         while True:
             tried_s = loop.time()
             try:
-                async with asyncio.timeout(hub.connect_timeout_s):
+                async with asyncio.timeout(manager.connect_timeout_s):
                     await loop.create_connection(lambda: connection, *connection.address)
-                self.held_here_s = tried_s - begun_s if self._never_asked else 0.0
+                self.local_delay_s = tried_s - begun_s if self._never_asked else 0.0
                 return
             except OSError as error:
                 if isinstance(error, TimeoutError) or not may_pass_soon(error):
                     raise
-                hub.counter.call_failed("connection to an upstream", name_of(error))
+                manager.counter.call_failed("connection to an upstream", name_of(error))
                 self._never_asked = is_local(error)
-                if not self._never_asked and loop.time() >= begun_s + hub.connect_timeout_s:
+                if not self._never_asked and loop.time() >= begun_s + manager.connect_timeout_s:
                     raise
             await asyncio.sleep(backoff.next_s())
 
@@ -149,23 +149,23 @@
 
     def begin(self, head: Message) -> bool:
         """A long answer has begun: its time no longer runs. False if nobody takes it so."""
-        if self._begin is not None:
+        if self._on_stream_start is not None:
             if self._timer is not None:
                 self._timer.cancel()
-            taken = self._begin(self, head)
+            taken = self._on_stream_start(self, head)
             if taken is not None and not self.over:
                 self._pass_on = taken
-                self.pool.hub.passing += 1
+                self.pool.manager.streaming += 1
         return self._pass_on is not None
 
     def pass_on(self, data: bytes) -> None:
         if self._pass_on is not None and not self.over:
             self._pass_on(data)
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Read no more of the answer for now (True), or go on."""
         if self._connection is not None:
-            self._connection.hold(on)
+            self._connection.set_paused(paused)
 
     def finish(self, result: Result, response: Message | None = None) -> None:
         """End it and say so, once."""
@@ -176,14 +176,14 @@
     def abandon(self, answered: bool = False) -> None:
         """End it; a connection on which the answer is still to come is closed and never used again."""
         if not self.over and self._pass_on is not None:
-            self.pool.hub.passing -= 1
+            self.pool.manager.streaming -= 1
         self.over = True
         if self._timer is not None:
             self._timer.cancel()
         if self._opening is not None:
             self._opening.cancel()
-        if self._coming is not None:
-            self._coming.close()
+        if self._connecting is not None:
+            self._connecting.close()
         if self._connection is not None and not answered:
             self._connection.close()
 
@@ -194,14 +194,14 @@
     def __init__(self, pool: Pool, address: Address) -> None:
         self.address = address  # where it goes: its pool may move while a request is out on it
         self._pool = pool
-        self._reader = MessageReader(responses=True, max_body=pool.hub.max_body, stream=pool.hub.stream)
+        self._reader = MessageReader(responses=True, max_body=pool.manager.max_body, stream=pool.manager.stream)
         self._holding_back: asyncio.TimerHandle | None = None  # part of an answer of untold length is here
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
         self._written = False
         self._closed = False
         self.idle_since = 0.0
-        pool.hub.open += 1
+        pool.manager.open_connections += 1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -234,23 +234,23 @@
         if not self._written:
             self._written = True
             if self._exchange is not None:
-                self._exchange.wrote()
+                self._exchange.on_written()
 
     def get_buffer(self, size: int) -> memoryview:
-        return self._pool.hub.buffer()
+        return self._pool.manager.buffer()
 
     def buffer_updated(self, count: int) -> None:
-        self._take(self._reader.feed(self._pool.hub.buffer()[:count]))
+        self._take(self._reader.feed(self._pool.manager.buffer()[:count]))
 
     def eof_received(self) -> None:
         if not self._reader.ends_with_connection or self._exchange is None:
             return
         self._take(self._reader.finish())
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Read nothing for now (True), or go on."""
         if self._transport is not None:
-            if on:
+            if paused:
                 self._transport.pause_reading()
             else:
                 self._transport.resume_reading()
@@ -274,7 +274,7 @@
 
     def _take(self, responses: list[Message]) -> None:
         exchange = self._exchange
-        if exchange is None or (self._reader.bad and not responses):
+        if exchange is None or (self._reader.error_status and not responses):
             self.lose()  # nobody asked for it, or it can't be read
             return
         if (self._reader.head is not None or self._reader.pieces) and not self._passed_on(exchange):
@@ -290,7 +290,7 @@
                 self._holding_back = None
             self._exchange = None
             # What comes behind a whole answer takes nothing from it, but it must not meet the next request.
-            alone = len(responses) == 1 and not (self._reader.begun or self._reader.bad)
+            alone = len(responses) == 1 and not (self._reader.begun or self._reader.error_status)
             if alone and responses[0].keep_alive and self._written:
                 self._pool.keep(self)
             else:
@@ -313,7 +313,7 @@
         self._pool.drop(self)
         if not self._closed:
             self._closed = True
-            self._pool.hub.open -= 1
+            self._pool.manager.open_connections -= 1
         if self._holding_back is not None:
             self._holding_back.cancel()
             self._holding_back = None
@@ -329,18 +329,18 @@
 class Pool:
     """The connections to one address; those between uses, the last used one last."""
 
-    hub: Hub
+    manager: PoolManager
     address: Address
     ready: bool = True  # it may be sent something new
     idle: list[Connection] = field(default_factory=list)
 
-    def exchange(self, data: bytes, timeout_s: float | None, done: Done) -> Exchange:
+    def exchange(self, data: bytes, timeout_s: float | None, done: OnDone) -> Exchange:
         exchange = Exchange(self, data, done)
         exchange.start(None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s)
         return exchange
 
     def reuse(self) -> Connection | None:
-        self.hub.expire()
+        self.manager.close_expired()
         while self.idle:
             connection = self.idle[-1]
             self.drop(connection)
@@ -352,16 +352,16 @@
         if not self.ready or connection.address != self.address:  # there may be another upstream by now
             connection.close()
             return
-        connection.idle_since = self.hub.time()
+        connection.idle_since = self.manager.time()
         self.idle.append(connection)
-        self.hub.idle[connection] = None
+        self.manager.idle[connection] = None
         if len(self.idle) > KEPT_IDLE:
             self.idle[0].close()
 
     def drop(self, connection: Connection) -> None:
         if connection in self.idle:
             self.idle.remove(connection)
-            del self.hub.idle[connection]
+            del self.manager.idle[connection]
 
     def close_idle(self) -> None:
         while self.idle:
@@ -380,7 +380,7 @@
         """Nothing is noted."""
 
 
-class Hub:
+class PoolManager:
     """What all pools share: the limits, and the count of connections."""
 
     def __init__(
@@ -388,7 +388,7 @@
         capacity: int,
         connect_timeout_s: float,
         conn_idle_s: float,
-        max_body: int = MAX_ANSWER,
+        max_body: int = MAX_RESPONSE,
         stream: bool = False,
         counter: FailureCounter | None = None,
     ) -> None:
@@ -401,39 +401,39 @@
         self.idle_s = conn_idle_s * IDLE_PART or IDLE_DEFAULT_S
         self.max_body = max_body
         self.stream = stream
-        self.passing = 0  # answers that are passed on now
-        self._buffer = memoryview(bytearray(PIECE))  # for all connections: what is read is taken at once
-        self.open = 0  # connections, also those that are only coming up
+        self.streaming = 0  # answers that are passed on now
+        self._buffer = memoryview(bytearray(MAX_PIECE))  # for all connections: what is read is taken at once
+        self.open_connections = 0  # connections, also those that are only coming up
         self.pools: dict[int, Pool] = {}
         self.idle: dict[Connection, None] = {}  # of all pools, the longest so first
         self._opening: set[asyncio.Task[None]] = set()
 
     def buffer(self) -> memoryview:
         """Where to read into. The more answers pass at once, the less of each is taken at a time."""
-        if self.passing * PIECE <= PASSING_BYTES:
+        if self.streaming * MAX_PIECE <= STREAMING_BYTES:
             return self._buffer
-        return self._buffer[: max(LEAST_PIECE, PASSING_BYTES // self.passing)]
+        return self._buffer[: max(MIN_PIECE, STREAMING_BYTES // self.streaming)]
 
     def own(self, opening: asyncio.Task[None]) -> None:
         """Hold a connection's coming up until it is over."""
         self._opening.add(opening)
         opening.add_done_callback(self._opening.discard)
 
-    async def stopped(self) -> None:
+    async def wait_for_cancelled(self) -> None:
         """Wait for the end of what was coming up and has been called off."""
         if self._opening:
             await asyncio.wait(self._opening)
 
     def make_place(self, spare: int = 0) -> bool:
         """Is there room for one more connection? An idle one is given up for it."""
-        if self.open < self.capacity - spare:
+        if self.open_connections < self.capacity - spare:
             return True
         oldest = next(iter(self.idle), None)
         if oldest is not None:
             oldest.close()
         return oldest is not None
 
-    def expire(self) -> None:
+    def close_expired(self) -> None:
         """Close what has been idle for so long that its upstream may be closing it too."""
         latest = self.time() - self.idle_s
         while self.idle and next(iter(self.idle)).idle_since < latest:
--- a/lanemux/net/upstream_set.py
+++ b/lanemux/net/upstream_set.py
@@ -16,7 +16,7 @@
 from lanemux.core.system import System
 from lanemux.net.config import Config
 from lanemux.net.discovery import Discovery, read_listing
-from lanemux.net.upstream import Hub, Pool
+from lanemux.net.upstream import Pool, PoolManager
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         config: Config,
-        hub: Hub,
+        hub: PoolManager,
         system: System,
         source: MakeSource | None,
         told: Callable[[api.ListUpdate], None],
--- a/tests/rehearsal/broken/flag_before_call.py
+++ b/tests/rehearsal/broken/flag_before_call.py
@@ -20,7 +20,7 @@
 
 
 def resume(self: Server) -> None:
-    if self._listener is not None and not self._accepting and self._accept_again is None:
+    if self._listener is not None and not self._accepting and self._accept_retry is None:
         self._accepting = True
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
@@ -31,5 +31,5 @@
 
 loop.__dict__["ResilientSelector"] = PlainSelector
 Server._resume = resume  # type: ignore[method-assign]
-Server._look_at_listening = look_at_listening  # type: ignore[method-assign]
+Server._check_listener = look_at_listening  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/write_error_ends_connection.py
+++ b/tests/rehearsal/broken/write_error_ends_connection.py
@@ -5,5 +5,5 @@
 from lanemux.eventloop import stream_socket
 from lanemux.net import daemon
 
-stream_socket.MOMENTARY = frozenset()
+stream_socket.TRANSIENT_ERRORS = frozenset()
 sys.exit(daemon.main())
--- a/tests/storm/test_floods.py
+++ b/tests/storm/test_floods.py
@@ -58,7 +58,7 @@
             assert (await client.ask(READY)).status == 200
             with silent(client.port, 600, "127.0.0.9"):
                 for least in (0, 20, 40, 200, 400, 601):  # on one connection, all through it
-                    while server._entered < least:
+                    while server._accepted_total < least:
                         await asyncio.sleep(0)
                     assert (await client.ask(request())).status == 503
                     assert len(server._connections) <= PLACES
@@ -73,7 +73,7 @@
         async with node(Script(refuses), sockets=96, admission=admission) as client:
             server = client.node.server
             with silent(client.port, 10, "127.0.0.8") as few, silent(client.port, 100, "127.0.0.9") as many:
-                await until(lambda: server._entered >= 110)
+                await until(lambda: server._accepted_total >= 110)
                 assert not any(closed(one) for one in few)
                 assert sum(closed(one) for one in many) >= 100 - PLACES + 10
 
@@ -86,12 +86,12 @@
             server = client.node.server
             with silent(client.port, 3, "127.0.0.9") as opened:
                 await until(lambda: len(server._pending) == 3)
-                assert not server._adopting and all(c._transport is None for c in server._pending)
-                for member in server._awaited._members:
+                assert not server._attaching and all(c._transport is None for c in server._pending)
+                for member in server._awaiting_request._members:
                     member.since -= 2.3
                 server._tick()
                 await until(lambda: all(closed(one) for one in opened))
-                assert server.held == 0
+                assert server.connection_count == 0
 
     run(test())
 
@@ -102,13 +102,13 @@
             server = client.node.server
             whole = request()
             await client.send(whole[:5])
-            await until(lambda: not server._pending and server._awaited)
+            await until(lambda: not server._pending and server._awaiting_request)
             assert (await client.ask(whole[5:])).status == 503
             other = Client(client.node, client.port)
             await other.send(b"")
             await until(lambda: server._pending)
             other.close()
-            await until(lambda: not server._pending and server.held == 1)
+            await until(lambda: not server._pending and server.connection_count == 1)
 
     run(test())
 
@@ -121,6 +121,6 @@
                 drain = asyncio.ensure_future(client.node.drain())
                 assert (await client.ask(request())).status == 503
                 await drain
-                assert client.node.server.held == 0
+                assert client.node.server.connection_count == 0
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -246,7 +246,7 @@
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
             client.node.feed(api.Wake("off"))
-            assert platform(client)._source._pool.hub.open == 0
+            assert platform(client)._source._pool.manager.open_connections == 0
             client.node.feed(api.Wake("on"))
             await until(lambda: len(registry.calls) == 2)
             client.node.feed(api.Wake("fetch"))
@@ -282,7 +282,7 @@
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
             assert len(hosts(script)) == 2 and len(client.node._hub.pools) == 2
-            assert left._pool.hub.open == 0
+            assert left._pool.manager.open_connections == 0
             new.change("s7")
             await until(lambda: len(client.node._hub.pools) == 3)
         new.upstream.stop()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -237,7 +237,7 @@
         async with node(script, upstream) as client:
             client.node._hub.capacity = 16
             client.node.feed(api.Wake("now"))
-            assert client.node._hub.open <= 14
+            assert client.node._hub.open_connections <= 14
             sends_first(script)
             await client.send(request())
             await until(lambda: any("/read" in got.first for got in upstream.got))
@@ -266,8 +266,8 @@
             await until(lambda: any("/read" in got.first for got in upstream.got))
             client.node.feed(api.Wake("now"))  # these are coming up
             client.node.close()
-            await client.node._hub.stopped()
-            assert len(sent) == 1 and not client.node.held()["probes"] and not client.node._hub.open
+            await client.node._hub.wait_for_cancelled()
+            assert len(sent) == 1 and not client.node.held()["probes"] and not client.node._hub.open_connections
 
     run(test())
 
@@ -713,11 +713,11 @@
             await until(lambda: len(upstream.got) == 7)
             client.node._hub.capacity = 7
             assert (await client.ask(request())).status == 504
-            assert client.node._hub.open == 7
+            assert client.node._hub.open_connections == 7
             assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
             for other in others:
                 other.close()
-            await until(lambda: client.node._hub.open == 0)
+            await until(lambda: client.node._hub.open_connections == 0)
 
     run(test())
 
@@ -735,7 +735,7 @@
             for number, upstream in enumerate((first, second)):
                 script.react = partial(sends_to, script, number)
                 assert (await client.ask(request())).status == 200
-                assert len(upstream.got) == 1 and client.node._hub.open == 1
+                assert len(upstream.got) == 1 and client.node._hub.open_connections == 1
             await until(lambda: first.closed == 1)
 
     run(test())
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -176,16 +176,16 @@
             await client.send(data)
             if served and not data:
                 return  # that one is idle, and may be for long
-            await until(lambda: server._awaited and (not data or first(server._awaited).receiving))
+            await until(lambda: server._awaiting_request and (not data or first(server._awaiting_request).receiving))
             server._tick()
-            assert server._awaited
-            ages(server._awaited, 2.3)
+            assert server._awaiting_request
+            ages(server._awaiting_request, 2.3)
             server._tick()
             assert client.reader is not None
             got = await asyncio.wait_for(client.reader.read(), PATIENCE_S)
             assert got.startswith(answer) and bool(got) == bool(answer)
             client.close()
-            await until(lambda: not server._connections and not server._leaving)
+            await until(lambda: not server._connections and not server._lingering)
 
     run(test())
 
@@ -197,15 +197,15 @@
         async with node(Script()) as client:
             server = client.node.server
             await client.send(b"GET /re")
-            await until(lambda: server._awaited and first(server._awaited).receiving)
-            ages(server._awaited, 2.3)
+            await until(lambda: server._awaiting_request and first(server._awaiting_request).receiving)
+            ages(server._awaiting_request, 2.3)
             server._tick_due -= 1.0  # the loop comes to it so late
             server._tick()
-            assert server._awaited  # its bytes may lie unread
+            assert server._awaiting_request  # its bytes may lie unread
             server._tick_due -= 1.0
             assert server._dispensable() is None  # nor does it make place for others
             server._tick()
-            assert not server._awaited
+            assert not server._awaiting_request
 
     run(test())
 
@@ -231,12 +231,12 @@
         async with node(Script()) as client:
             server = client.node.server
             await client.send(b"")
-            await until(lambda: server._awaited)
-            ages(server._awaited, 2.0)
-            since = first(server._awaited).since
+            await until(lambda: server._awaiting_request)
+            ages(server._awaiting_request, 2.0)
+            since = first(server._awaiting_request).since
             await client.send(b"GET")
-            await until(lambda: first(server._awaited).receiving)
-            assert first(server._awaited).since == since
+            await until(lambda: first(server._awaiting_request).receiving)
+            assert first(server._awaiting_request).since == since
 
     run(test())
 
@@ -246,10 +246,10 @@
         async with node(Script()) as client:
             server = client.node.server
             assert (await client.ask(b"nonsense\r\n\r\n")).status == 400
-            assert server._leaving and server._connections
-            ages(server._leaving, 0.6)
+            assert server._lingering and server._connections
+            ages(server._lingering, 0.6)
             server._tick()
-            assert not server._leaving and not server._connections
+            assert not server._lingering and not server._connections
 
     run(test())
 
@@ -276,8 +276,8 @@
             mute = [client.another() for _ in range(7)]
             for other in mute:
                 await other.send(b"")
-            await until(lambda: len(server._awaited) == 7)
-            ages(server._awaited, 1.0)
+            await until(lambda: len(server._awaiting_request) == 7)
+            ages(server._awaiting_request, 1.0)
             assert (await client.another().ask(READY)).status == 200
             assert await mute[0].closed()
             assert (await client.ask(READY)).status == 200  # idle for longer, and still there
@@ -293,9 +293,9 @@
             server = client.node.server
             with socket.create_connection((HOST, client.port)) as mine:
                 mine.setblocking(False)
-                while not server._awaited:
+                while not server._awaiting_request:
                     server._accept()
-                ages(server._awaited, 1.0)
+                ages(server._awaiting_request, 1.0)
                 assert server._evict()  # its transport is not made yet
                 ended = asyncio.get_running_loop().sock_recv(mine, 1)
                 assert await asyncio.wait_for(ended, PATIENCE_S) == b""
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -14,9 +14,9 @@
 
 from lanemux import interface as api
 from lanemux.interface import Result
-from lanemux.net.http import KEPT_ANSWER, MessageReader
+from lanemux.net.http import MAX_BUFFERED_RESPONSE, MessageReader
 from lanemux.net.node import PASSING_IDLE_NS
-from lanemux.net.upstream import LEAST_PIECE, PASSING_BYTES, PIECE, Hub
+from lanemux.net.upstream import MAX_PIECE, MIN_PIECE, STREAMING_BYTES, PoolManager
 from lanemux.policy import Balancer
 from tests.sockets import Answer, Client, Got, Script, Upstream, Writer, answers, node, request, run, settings, until
 from tests.test_node import sends_first
@@ -85,7 +85,7 @@
                 _, body, whole = await body_of(client)
                 assert whole and body == LONG
             assert client.node.tally.succeeded["read"] == 2 and client.node.held()["calls"] == 0
-            assert client.node._hub.passing == 0
+            assert client.node._hub.streaming == 0
         assert [e.attempt for e in script.of(api.AnswerBegun)] == [0, 0]
         assert [(e.result, e.complete) for e in script.of(api.Outcome)] == [(Result.OK, True)] * 2
 
@@ -187,7 +187,7 @@
             while before != written:  # until the pipe is full
                 before = written
                 await asyncio.sleep(0.05)
-                assert transport.get_write_buffer_size() <= 2 * PIECE
+                assert transport.get_write_buffer_size() <= 2 * MAX_PIECE
             assert written < 32 * 1024 * 1024
             call.moved_ns -= 2 * PASSING_IDLE_NS
             client.node._sweep_idle()
@@ -206,7 +206,7 @@
             await until(lambda: client.node._passing)
             client.close()
             await until(lambda: upstream.closed == 1 and not client.node._passing)
-            assert client.node._hub.passing == 0 and script.of(api.ClientGone)
+            assert client.node._hub.streaming == 0 and script.of(api.ClientGone)
 
     run(test())
 
@@ -229,12 +229,12 @@
 
 def test_pieces_get_smaller_as_more_answers_pass() -> None:
     async def test() -> None:
-        hub = Hub(10, 1.0, 1.0)
+        hub = PoolManager(10, 1.0, 1.0)
         for passing in (0, 1, 128, 129, 500, 5000):
-            hub.passing = passing
+            hub.streaming = passing
             size = len(hub.buffer())
-            assert LEAST_PIECE <= size <= PIECE
-            assert passing * size <= PASSING_BYTES or size == LEAST_PIECE
+            assert MIN_PIECE <= size <= MAX_PIECE
+            assert passing * size <= STREAMING_BYTES or size == MIN_PIECE
 
     run(test())
 
@@ -295,13 +295,13 @@
     reader, bodies, passing = MessageReader(responses=True, max_body=1 << 20, stream=True), [], b""
     for part in data:
         ready = reader.feed(part)
-        assert not reader.bad
+        assert not reader.error_status
         passing += b"".join(reader.pieces)
         reader.head, reader.pieces = None, []
         for message in ready:
             assert all(v == v.strip() for _, v in message.headers)
             bodies.append(passing if message.streamed else message.body)
-            assert message.streamed == (len(bodies[-1]) > KEPT_ANSWER)
+            assert message.streamed == (len(bodies[-1]) > MAX_BUFFERED_RESPONSE)
             passing = b""
     return bodies
 
@@ -309,7 +309,10 @@
 @unhurried(deadline=None, derandomize=True, database=None)
 @given(
     st.lists(
-        st.tuples(st.integers(0, 3), st.sampled_from([0, 1, 900, KEPT_ANSWER, KEPT_ANSWER + 1, 200_000])),
+        st.tuples(
+            st.integers(0, 3),
+            st.sampled_from([0, 1, 900, MAX_BUFFERED_RESPONSE, MAX_BUFFERED_RESPONSE + 1, 200_000]),
+        ),
         min_size=1,
         max_size=1,
     ),
--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -70,7 +70,7 @@
         "reset-at-drain",
         "this issue's mend: who waits to be accepted when a drain ends is answered",
         FRONTEND,
-        "        await self._accept_last(end_s - HASTE_S)",
+        "        await self._accept_last(end_s - FORCED_CLOSE_MARGIN_S)",
         "        pass",
     ),
     _one(
@@ -105,7 +105,7 @@
         "moved-astray",
         "past mend: a request that waits for a connection to an old address is called off",
         UPSTREAM,
-        "self._coming is not None and self._coming.address != self.pool.address",
+        "self._connecting is not None and self._connecting.address != self.pool.address",
         "False",
     ),
     _one(
@@ -126,7 +126,7 @@
         "connection-leak",
         "past mend: a connection that was given up while it came up is closed",
         UPSTREAM,
-        "        if self._coming is not None:\n            self._coming.close()\n",
+        "        if self._connecting is not None:\n            self._connecting.close()\n",
         "",
     ),
     _one(
