--- a/lanemux/eventloop/__init__.py
+++ b/lanemux/eventloop/__init__.py
@@ -1,1 +1,1 @@
-"""The event loop of service: asyncio's own, on calls of the machine that may fail for a moment."""
+"""The event loop used in production: asyncio's loop made to tolerate system calls that fail transiently."""
--- a/lanemux/eventloop/log_handler.py
+++ b/lanemux/eventloop/log_handler.py
@@ -1,4 +1,4 @@
-"""A log on a descriptor whose reader may be gone, or slow: it never makes the process wait."""
+"""Non-blocking logging to a descriptor whose reader may be slow or gone."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import os
 import select
 
-PIPE_BUF = 4096  # bytes: where a pipe can be written to, it takes so many without blocking (pipe(7))
+PIPE_BUF = 4096  # bytes that a writable pipe takes without blocking (pipe(7))
 STANDARD_ERROR = 2
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes lines to a descriptor while that takes them at once; counts and tells those that it left out."""
+    """Writes lines to a descriptor if that does not block; the next line written reports how many were dropped."""
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
         super().__init__()
@@ -21,7 +21,7 @@
         self._dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or count it."""
+        """Write a record, or count it as dropped."""
         try:
             note = f"({self._dropped} lines could not be written)\n" if self._dropped else ""
             data = f"{note}{self.format(record)}\n".encode(errors="replace")
@@ -29,11 +29,11 @@
                 self._dropped = 0
             else:
                 self._dropped += 1
-        except Exception:  # a log must not fail what it tells of
+        except Exception:  # logging must not fail the code that logs
             self._dropped += 1
 
     def _write(self, data: bytes) -> bool:
-        """All of it, or False where the rest is given up."""
+        """Write all data; False if the rest is dropped because writing would block."""
         while data:
             if not any(events & select.POLLOUT for _, events in self._poll.poll(0)):
                 return False
--- a/lanemux/eventloop/loop.py
+++ b/lanemux/eventloop/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of service."""
+"""The event loop used in production."""
 
 from __future__ import annotations
 
@@ -16,41 +16,42 @@
 
 log = logging.getLogger(__name__)
 
-SIGNALS_LOOK_S = 0.1  # a signal is acted on within this, whether or not the byte that wakes the loop could be written
+SIGNAL_CHECK_S = 0.1  # longest delay of a signal if the byte that wakes the loop could not be written
 READING_CALLS = frozenset({"recv", "epoll_ctl", "epoll_wait"})
-FAILING_S = 0.1  # failures with less between them are one span
-REPORT_AGAIN_S = 10.0  # one place's failures are logged so often at the most
-MAX_REPORTED = 256  # places of which it is remembered
+FAILURE_GAP_S = 0.1  # failures closer together than this count as one period
+LOG_INTERVAL_S = 10.0  # the same failure is logged at most this often
+MAX_LOGGED_FAILURES = 256  # number of failures whose last log time is remembered
 
 
 class FailureCounter(Protocol):
-    """Counts failed calls, by what was called and the error's name."""
+    """Counts failed calls by call and error name."""
 
-    def call_failed(self, call: str, error: str) -> None: ...
+    def call_failed(self, call: str, error: str) -> None:
+        """Count one failure of this call with this error name."""
 
 
 class EventLoop(asyncio.SelectorEventLoop):
-    """asyncio's loop, with calls that may fail for a moment, signals that need no descriptor, and a last line.
+    """asyncio's loop, tolerating transient failures of system calls, with signals that need no descriptor.
 
-    An exception that a callback lets out is logged with its trace and counted; the loop goes on."""
+    An unhandled exception of a callback is logged with its traceback and counted; the loop continues."""
 
     def __init__(self) -> None:
-        """OSError where the machine has no descriptors for it."""
+        """Raises OSError if no descriptors are available."""
         self.counter: FailureCounter | None = None
-        self._made = False
+        self._initialized = False
         self._signal_callbacks: dict[int, asyncio.Handle] = {}
         self._uninstalled: set[int] = set()  # signals whose handlers could not be installed yet
-        self._looking: asyncio.TimerHandle | None = None
-        self._reading_failed_from_s, self._reading_failed_last_s = 0.0, -FAILING_S  # by the loop's clock
-        self._reported_s: dict[str, float] = {}  # what failed -> when it was last logged
-        self._resilient = ResilientSelector(self._call_failed)
-        super().__init__(self._resilient)
-        self._made = True
-        self.set_exception_handler(lambda loop, context: self._report(context))
+        self._signal_timer: asyncio.TimerHandle | None = None
+        self._reading_failed_from_s, self._reading_failed_last_s = 0.0, -FAILURE_GAP_S  # by the loop's clock
+        self._logged_s: dict[str, float] = {}  # failure -> when it was last logged
+        self._resilient_selector = ResilientSelector(self._call_failed)
+        super().__init__(self._resilient_selector)
+        self._initialized = True
+        self.set_exception_handler(lambda loop, context: self._report_unhandled(context))
 
     def close(self) -> None:
-        """Close it. What the machine says to that has no consequence. The destructor does so too, for one half made."""
-        if not self._made:
+        """Close the loop, ignoring errors. The destructor calls this too, even if the constructor failed."""
+        if not self._initialized:
             return
         with contextlib.suppress(OSError, ValueError):
             signal.set_wakeup_fd(-1)
@@ -62,17 +63,17 @@
     # -- signals --
 
     def add_signal_handler(self, sig: int, callback: Callable[..., Any], *args: Any) -> None:  # type: ignore[override]
-        """Call back on a signal, and unblock it. Signals that come once the loop is closed have no effect."""
+        """Register a callback for a signal and unblock the signal. Signals after the loop is closed have no effect."""
         self._signal_callbacks[sig] = asyncio.Handle(callback, args, self, None)
         self._uninstalled.add(sig)
         self._install_signal_handlers()
-        with contextlib.suppress(OSError, ValueError):  # it only makes a signal heard sooner
+        with contextlib.suppress(OSError, ValueError):  # only needed for a faster reaction
             signal.set_wakeup_fd(self._csock.fileno(), warn_on_full_buffer=False)
-        if self._looking is None:
-            self._look()
+        if self._signal_timer is None:
+            self._check_signals()
 
     def _install_signal_handlers(self) -> None:
-        """A signal that was blocked stays so until its handler is there: the default action would end the process."""
+        """Install pending handlers; until then a signal stays blocked: its default action would end the process."""
         for sig in list(self._uninstalled):
             try:
                 signal.signal(sig, self._on_signal)
@@ -83,27 +84,27 @@
                 self._uninstalled.discard(sig)
 
     def remove_signal_handler(self, sig: int) -> bool:
-        """A signal has no effect any more; False if it had none."""
+        """Remove a signal's callback; False if it had none."""
         return self._signal_callbacks.pop(sig, None) is not None
 
     def _on_signal(self, number: int, frame: object) -> None:
-        """Python runs it between two steps of the program, at the latest when the loop next wakes."""
+        """Handler of all signals, run by Python between bytecode instructions, at the latest when the loop wakes."""
         handle = self._signal_callbacks.get(number)
         if handle is not None and not self.is_closed():
             self._add_callback_signalsafe(handle)  # type: ignore[attr-defined]
 
-    def _look(self) -> None:
-        """Wake up, so that signals are seen."""
+    def _check_signals(self) -> None:
+        """Wake the loop periodically, so that signals are handled."""
         self._install_signal_handlers()
-        self._looking = self.call_later(SIGNALS_LOOK_S, self._look)
+        self._signal_timer = self.call_later(SIGNAL_CHECK_S, self._check_signals)
 
     # -- connections --
 
     async def create_connection(
         self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        """As asyncio's. Where only an IP address and a port are given, the socket is a tolerant one from the start: a
-        failing `close` must not take the place of a cancellation."""
+        """As asyncio's. If only an IP address and a port are given, the socket is a StreamSocket from the start: an
+        error from `close` must not replace a cancellation."""
         if host is None or port is None or options:
             return await super().create_connection(protocol_factory, host, port, **options)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -116,7 +117,7 @@
             raise
 
     async def _create_connection_transport(self, sock: socket.socket, *more: Any, **options: Any) -> Any:
-        """What asyncio makes each connection's transport with, accepted or opened."""
+        """Wrap the socket; asyncio makes the transport of each accepted or opened connection here."""
         return await super()._create_connection_transport(  # type: ignore[misc]
             self._resilient_socket(sock), *more, **options
         )
@@ -129,18 +130,18 @@
     def _resilient_socket(self, sock: socket.socket) -> StreamSocket:
         if isinstance(sock, StreamSocket):
             return sock
-        return StreamSocket(sock, self._resilient.defer, self._call_failed)
+        return StreamSocket(sock, self._resilient_selector.defer, self._call_failed)
 
-    # -- what fails --
+    # -- failures --
 
     def reading_failed_for_s(self) -> float:
-        """How long calls that reading needs have been failing, until just now; 0 where none has."""
+        """How long calls needed for reading have been failing up to now, in s; 0 if they are not failing."""
         now_s = self.time()
-        return now_s - self._reading_failed_from_s if now_s < self._reading_failed_last_s + FAILING_S else 0.0
+        return now_s - self._reading_failed_from_s if now_s < self._reading_failed_last_s + FAILURE_GAP_S else 0.0
 
     def _note_reading_failed(self) -> None:
         now_s = self.time()
-        if now_s >= self._reading_failed_last_s + FAILING_S:
+        if now_s >= self._reading_failed_last_s + FAILURE_GAP_S:
             self._reading_failed_from_s = now_s
         self._reading_failed_last_s = now_s
 
@@ -149,23 +150,23 @@
             self._note_reading_failed()
         if self.counter is not None:
             self.counter.call_failed(call, name_of(error))
-        if self._tell_again(call):
+        if self._should_log(call):
             log.warning("%s: %s", call, error)
 
-    def _report(self, context: dict[str, Any]) -> None:
-        """The last line: what a callback, a task or a transport let out."""
+    def _report_unhandled(self, context: dict[str, Any]) -> None:
+        """Exception handler of the loop, for unhandled errors of callbacks, tasks and transports."""
         error = context.get("exception")
         what = f"{context.get('message')}: {error!r}"
         if self.counter is not None:
             self.counter.call_failed("callback", type(error).__name__)
-        if self._tell_again(what):
+        if self._should_log(what):
             log.error("%s (%s)", what, context.get("handle") or context.get("task") or "", exc_info=error)
 
-    def _tell_again(self, what: str) -> bool:
+    def _should_log(self, what: str) -> bool:
         now_s = self.time()
-        if len(self._reported_s) > MAX_REPORTED:
-            self._reported_s.clear()
-        if now_s < self._reported_s.get(what, -REPORT_AGAIN_S) + REPORT_AGAIN_S:
+        if len(self._logged_s) > MAX_LOGGED_FAILURES:
+            self._logged_s.clear()
+        if now_s < self._logged_s.get(what, -LOG_INTERVAL_S) + LOG_INTERVAL_S:
             return False
-        self._reported_s[what] = now_s
+        self._logged_s[what] = now_s
         return True
--- a/lanemux/eventloop/selector.py
+++ b/lanemux/eventloop/selector.py
@@ -1,4 +1,4 @@
-"""A selector whose registrations hold although the kernel can't take them at once."""
+"""An epoll selector that retries registrations the kernel could not take."""
 
 from __future__ import annotations
 
@@ -9,79 +9,79 @@
 from collections.abc import Callable
 from typing import Any
 
-RETRY_S = 0.01  # between two tries to make the kernel's registrations what they should be
-# The kernel lacks something for a moment; anything else is a fault of the caller's.
-MOMENTARY = frozenset({errno.ENOMEM, errno.ENOSPC, errno.ENOBUFS, errno.EINTR, errno.EAGAIN})
-ABSENT = frozenset({errno.ENOENT, errno.EBADF, errno.EPERM})  # from removing: the kernel knows nothing of it any more
+RETRY_S = 0.01  # between attempts to bring the kernel's registrations up to date
+# Transient lack of resources in the kernel; any other error is the caller's fault.
+TRANSIENT_ERRORS = frozenset({errno.ENOMEM, errno.ENOSPC, errno.ENOBUFS, errno.EINTR, errno.EAGAIN})
+NOT_REGISTERED_ERRORS = frozenset({errno.ENOENT, errno.EBADF, errno.EPERM})  # from a removal
 
 
 class ResilientSelector(selectors.EpollSelector):
-    """An epoll selector that keeps what is registered itself, and makes the kernel follow.
+    """An epoll selector that keeps its own record of registrations and brings the kernel in line with it.
 
-    What `epoll_ctl` refuses for a moment is tried again before each wait. `failed` is told of each failed call: its
-    name and the error."""
+    Transient failures of `epoll_ctl` are retried before each wait. `on_failure` is called with the name and the error
+    of each failed call."""
 
-    def __init__(self, failed: Callable[[str, OSError], None] = lambda call, error: None) -> None:
+    def __init__(self, on_failure: Callable[[str, OSError], None] = lambda call, error: None) -> None:
         super().__init__()
-        self._failed = failed
-        self._kernel: dict[int, int] = {}  # descriptor -> the events that the kernel has been told
-        self._behind: set[int] = set()  # descriptors of which the kernel has been told something else than registered
-        self._deferred: dict[int, tuple[int, float]] = {}  # descriptor -> events that are left out, and until when
+        self._on_failure = on_failure
+        self._kernel_events: dict[int, int] = {}  # descriptor -> events registered in the kernel
+        self._out_of_sync: set[int] = set()  # descriptors whose kernel registration differs
+        self._deferred: dict[int, tuple[int, float]] = {}  # descriptor -> events ignored, and until when
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Watch it from now on, or as soon as the kernel can."""
+        """Register a file object now, or as soon as the kernel accepts it."""
         key = selectors._BaseSelectorImpl.register(self, fileobj, events, data)
-        self._kernel.pop(key.fd, None)  # what was known of that number may be of an earlier descriptor
+        self._kernel_events.pop(key.fd, None)  # the number may have belonged to an earlier descriptor
         try:
-            self._follow(key.fd)
+            self._sync(key.fd)
         except OSError:
             selectors._BaseSelectorImpl.unregister(self, fileobj)
             raise
         return key
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Watch it for other events, or with other data."""
+        """Change the events or the data of a registration."""
         number = self._fileobj_lookup(fileobj)  # type: ignore[attr-defined]
         key = self._fd_to_key[number]._replace(events=events, data=data)  # type: ignore[attr-defined]
         self._fd_to_key[number] = key  # type: ignore[attr-defined]
-        self._follow(number)
+        self._sync(number)
         return key  # type: ignore[no-any-return]
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """Watch it no longer."""
+        """Remove a registration."""
         key = selectors._BaseSelectorImpl.unregister(self, fileobj)
         self._deferred.pop(key.fd, None)
-        self._follow(key.fd)
+        self._sync(key.fd)
         return key
 
     def defer(self, descriptor: int, events: int) -> None:
-        """Leave these events of a descriptor out for a moment: acting on them has just failed."""
+        """Ignore these events of a descriptor for RETRY_S, because acting on them has just failed."""
         self._deferred[descriptor] = events, time.monotonic() + RETRY_S
-        self._behind.add(descriptor)
+        self._out_of_sync.add(descriptor)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """The events that have come, waiting for so many seconds at the most (None: for ever)."""
-        if self._behind or self._deferred:
-            self._catch_up()
-            if self._behind or self._deferred:
+        """Wait for events, for at most `timeout` seconds (None: without limit)."""
+        if self._out_of_sync or self._deferred:
+            self._sync_pending()
+            if self._out_of_sync or self._deferred:
                 timeout = RETRY_S if timeout is None else min(timeout, RETRY_S)
         try:
             return super().select(timeout)
         except OSError as error:
-            self._failed("epoll_wait", error)
-            time.sleep(RETRY_S)  # this is the loop's place to wait
+            self._on_failure("epoll_wait", error)
+            time.sleep(RETRY_S)  # blocking is acceptable here, where the loop waits for events
             return []
 
-    def _catch_up(self) -> None:
+    def _sync_pending(self) -> None:
         now_s = time.monotonic()
         for descriptor in [d for d, (_, until_s) in self._deferred.items() if until_s <= now_s]:
             del self._deferred[descriptor]
-            self._behind.add(descriptor)
-        for descriptor in list(self._behind):
-            self._follow(descriptor)
+            self._out_of_sync.add(descriptor)
+        for descriptor in list(self._out_of_sync):
+            self._sync(descriptor)
 
     def _wanted(self, descriptor: int) -> int:
-        """The events that the kernel is to be told, in its own terms."""
+        """The epoll events that should be registered in the kernel."""
         key = self._fd_to_key.get(descriptor)  # type: ignore[attr-defined]
         if key is None:
             return 0
@@ -89,28 +89,28 @@
         read = select.EPOLLIN if events & selectors.EVENT_READ else 0
         return read | (select.EPOLLOUT if events & selectors.EVENT_WRITE else 0)
 
-    def _follow(self, descriptor: int) -> None:
-        """Tell the kernel what is registered now; if it can't take that yet, later. OSError for what it never will."""
-        wanted, told = self._wanted(descriptor), self._kernel.get(descriptor)
+    def _sync(self, descriptor: int) -> None:
+        """Update the kernel's registration; transient failures are retried later, others raise OSError."""
+        wanted, known = self._wanted(descriptor), self._kernel_events.get(descriptor)
         registered = descriptor in self._fd_to_key  # type: ignore[attr-defined]
         try:
-            if registered and told is None:
+            if registered and known is None:
                 self._add(descriptor, wanted)
-            elif registered and told != wanted:
+            elif registered and known != wanted:
                 self._change(descriptor, wanted)
-            elif not registered and told is not None:
+            elif not registered and known is not None:
                 self._remove(descriptor)
         except OSError as error:
-            if error.errno not in MOMENTARY:
+            if error.errno not in TRANSIENT_ERRORS:
                 raise
-            self._failed("epoll_ctl", error)
-            self._behind.add(descriptor)
+            self._on_failure("epoll_ctl", error)
+            self._out_of_sync.add(descriptor)
             return
-        self._behind.discard(descriptor)
+        self._out_of_sync.discard(descriptor)
         if registered:
-            self._kernel[descriptor] = wanted
+            self._kernel_events[descriptor] = wanted
         else:
-            self._kernel.pop(descriptor, None)
+            self._kernel_events.pop(descriptor, None)
 
     def _add(self, descriptor: int, events: int) -> None:
         try:
@@ -121,12 +121,12 @@
     def _change(self, descriptor: int, events: int) -> None:
         try:
             self._selector.modify(descriptor, events)  # type: ignore[attr-defined]
-        except FileNotFoundError:  # it was closed, and its number has been given anew
+        except FileNotFoundError:  # the descriptor was closed and its number reused
             self._selector.register(descriptor, events)  # type: ignore[attr-defined]
 
     def _remove(self, descriptor: int) -> None:
         try:
             self._selector.unregister(descriptor)  # type: ignore[attr-defined]
         except OSError as error:
-            if error.errno not in ABSENT:
+            if error.errno not in NOT_REGISTERED_ERRORS:
                 raise
--- a/lanemux/eventloop/stream_socket.py
+++ b/lanemux/eventloop/stream_socket.py
@@ -1,4 +1,4 @@
-"""A connection's socket whose momentary failures are no end of the connection."""
+"""A connection's socket on which transient failures do not end the connection."""
 
 from __future__ import annotations
 
@@ -8,65 +8,66 @@
 from collections.abc import Callable
 from typing import Any
 
-# The kernel lacks memory for a moment: nothing was sent or read, and the connection is as it was.
+# The kernel is short of memory: nothing was sent or read, and the connection is unchanged.
 TRANSIENT_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})
-Defer = Callable[[int, int], None]  # a descriptor, and the events that are to be left out for a moment
-Failed = Callable[[str, OSError], None]  # a call's name, and its error
+Defer = Callable[[int, int], None]  # descriptor, events to ignore for a short time
+OnFailure = Callable[[str, OSError], None]  # name of the call, its error
 
 
 class StreamSocket(socket.socket):
     """A connected socket for an asyncio transport.
 
-    A read or write that fails for a moment shows as one that would block; what only prepares or ends the connection
-    never fails."""
+    A transient failure to read or write is reported as BlockingIOError; calls that only set up or close the connection
+    never raise."""
 
-    def __init__(self, plain: socket.socket, defer: Defer, failed: Failed) -> None:
-        """Takes the connection over from `plain`, which is closed by that."""
+    def __init__(self, plain: socket.socket, defer: Defer, on_failure: OnFailure) -> None:
+        """Takes over the descriptor of `plain`, which is detached."""
         family, kind, protocol, wait_s = plain.family, plain.type, plain.proto, plain.gettimeout()
         super().__init__(family, kind, protocol, fileno=plain.detach())
-        self._defer, self._failed = defer, failed
-        self._without_consequence("ioctl", super().settimeout, wait_s)  # Python's own note: the descriptor has it
+        self._defer, self._on_failure = defer, on_failure
+        # Sets Python's attribute only: the descriptor already has this mode.
+        self._ignoring_errors("ioctl", super().settimeout, wait_s)
 
     def send(self, data: Any, flags: int = 0) -> int:
         try:
             return super().send(data, flags)
         except OSError as error:
-            raise self._seen("send", error, selectors.EVENT_WRITE) from None
+            raise self._transient_as_blocking("send", error, selectors.EVENT_WRITE) from None
 
     def recv(self, size: int, flags: int = 0) -> bytes:
         try:
             return super().recv(size, flags)
         except OSError as error:
-            raise self._seen("recv", error, selectors.EVENT_READ) from None
+            raise self._transient_as_blocking("recv", error, selectors.EVENT_READ) from None
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
         try:
             return super().recv_into(buffer, nbytes, flags)
         except OSError as error:
-            raise self._seen("recv", error, selectors.EVENT_READ) from None
+            raise self._transient_as_blocking("recv", error, selectors.EVENT_READ) from None
 
-    def _seen(self, call: str, error: OSError, events: int) -> OSError:
+    def _transient_as_blocking(self, call: str, error: OSError, events: int) -> OSError:
         if error.errno not in TRANSIENT_ERRORS:
             return error
-        self._failed(call, error)
+        self._on_failure(call, error)
         self._defer(self.fileno(), events)
         return BlockingIOError(errno.EAGAIN, f"{call}: {error.strerror}")
 
     def setsockopt(self, *arguments: Any) -> None:
-        self._without_consequence("setsockopt", super().setsockopt, *arguments)
+        self._ignoring_errors("setsockopt", super().setsockopt, *arguments)
 
     def setblocking(self, on: bool) -> None:
-        self._without_consequence("ioctl", super().setblocking, on)
+        self._ignoring_errors("ioctl", super().setblocking, on)
 
     def shutdown(self, how: int) -> None:
-        self._without_consequence("shutdown", super().shutdown, how)
+        self._ignoring_errors("shutdown", super().shutdown, how)
 
     def close(self) -> None:
-        self._without_consequence("close", super().close)
+        self._ignoring_errors("close", super().close)
 
-    def _without_consequence(self, name: str, call: Callable[..., None], *arguments: Any) -> None:
+    def _ignoring_errors(self, name: str, call: Callable[..., None], *arguments: Any) -> None:
         try:
             call(*arguments)
         except OSError as error:
-            if error.errno != errno.ENOTCONN:  # the other side has closed it already
-                self._failed(name, error)
+            if error.errno != errno.ENOTCONN:  # the peer has already closed the connection
+                self._on_failure(name, error)
--- a/tests/eventloop/test_loop.py
+++ b/tests/eventloop/test_loop.py
@@ -1,4 +1,4 @@
-"""Signals and callbacks on the loop of service."""
+"""Signals, failing callbacks and transient write errors on the production event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lanemux.eventloop.loop import EventLoop
 from lanemux.eventloop.stream_socket import StreamSocket
 
-HEARD_WITHIN_S = 0.2
+SIGNAL_LATENCY_S = 0.2
 
 
 class Counter:
@@ -42,13 +42,13 @@
 
     async def wait() -> float:
         loop.add_signal_handler(signal.SIGUSR1, heard.set)
-        signal.set_wakeup_fd(-1)  # no byte is written at all
+        signal.set_wakeup_fd(-1)  # no wake-up byte is written
         told_s = time.monotonic()
         loop.call_later(0.02, os.kill, os.getpid(), signal.SIGUSR1)
         await asyncio.wait_for(heard.wait(), 2)
         return time.monotonic() - told_s
 
-    assert loop.run_until_complete(wait()) < 0.02 + HEARD_WITHIN_S
+    assert loop.run_until_complete(wait()) < 0.02 + SIGNAL_LATENCY_S
 
 
 def test_a_signal_after_the_loop_has_closed_has_no_effect(loop: EventLoop) -> None:
@@ -87,9 +87,9 @@
     def send(self: socket.socket, data: bytes, flags: int = 0) -> int:
         if fails:
             raise OSError(fails.pop(), "planned")
-        return plain(self, data, flags)
+        return original_send(self, data, flags)
 
-    plain = socket.socket.send
+    original_send = socket.socket.send
 
     async def work() -> bytes:
         left, right = socket.socketpair()
--- a/tests/eventloop/test_selector.py
+++ b/tests/eventloop/test_selector.py
@@ -1,4 +1,4 @@
-"""What is registered holds although `epoll_ctl` fails for a moment."""
+"""Registrations take effect although `epoll_ctl` fails transiently."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FailingEpoll:
-    """An epoll object whose next calls fail."""
+    """An epoll object whose next `fails` calls fail."""
 
     def __init__(self, real: object) -> None:
         self._real = real
@@ -51,7 +51,7 @@
 
 
 def ready(made: ResilientSelector) -> list[int]:
-    """The events of the first wait that brings some."""
+    """The events of the first wait that returns any, within PATIENCE_S."""
     for _ in range(int(PATIENCE_S / RETRY_S)):
         if found := made.select(RETRY_S):
             return [events for _, events in found]
