--- a/lanemux/net/client_connection.py
+++ b/lanemux/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests, one at a time, and their answers."""
+"""One client's connection: its requests, one at a time, and their responses."""
 
 from __future__ import annotations
 
@@ -17,110 +17,115 @@
 
 SECOND = 1_000_000_000
 READY_PATH = b"/health/ready"
-DRAIN_BYTES = 256 * 1024  # of what a client that was turned away goes on sending: unread input would reset the answer
-READ_LATE_S = 0.05  # what may have lain unread for less is taken to have come when it was read
+# Read and dropped after a rejection: closing with unread input resets the connection, and the response is lost.
+MAX_DISCARDED_BYTES = 256 * 1024
+MIN_READ_DELAY_S = 0.05  # a shorter possible delay is ignored: the request counts as received when read
 
 
 class Service(Protocol):
-    """What answers the requests."""
+    """Handles the requests of client connections."""
 
     @property
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Should clients connect to this balancer?"""
 
-    def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None: ...
+    def handle_request(self, client: ClientConnection, request: Message, received_ns: int) -> None:
+        """Answer a request through the connection's methods, now or later."""
 
-    def client_gone(self, client: ClientConnection) -> None: ...
+    def client_gone(self, client: ClientConnection) -> None:
+        """The client can't get the response to its current request any more."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection: one request at a time. Sending one ahead of an answer ends it."""
+    """One client's connection, with one request at a time; a pipelined request ends the connection."""
 
     def __init__(self, server: Server, service: Service) -> None:
         self._server = server
         self._service = service
         self._reader = MessageReader()
         self._current: Message | None = None
-        self._first = True  # no request has come on it yet
+        self._is_first_request = True  # no request has been received yet
         self._ended = False
-        self._drained = 0  # bytes read since its end
-        self._writable: Callable[[], None] | None = None  # an answer passes in pieces: told when one has gone out
-        self._chunked = self._last = False  # how it passes
+        self._discarded_bytes = 0  # bytes read and dropped since it ended
+        self._on_writable: Callable[[], None] | None = None  # while streaming: called when all written data is sent
+        self._chunked = self._closes_after = False  # of the response being streamed
         self._transport: asyncio.Transport | None = None
-        self.unread_at_most_s = 0.0  # what came first may have waited so long for its connection to be accepted
-        self.since = 0.0  # it has been in its place of the server's tables since then
-        self.source = ""  # the address it comes from, where there is a ConnectionAdmission
+        self.max_unread_s = 0.0  # how long the first data may have waited for the connection to be accepted
+        self.since = 0.0  # when it was added to its current table of the server
+        self.source = ""  # the client's address, set if there is a ConnectionAdmission
 
     @property
     def busy(self) -> bool:
+        """True while a request is being answered."""
         return self._current is not None
 
     @property
     def receiving(self) -> bool:
-        """A request has begun to come."""
-        return self._reader.begun
+        """True if a request has begun to arrive and is incomplete."""
+        return self._reader.in_message
 
     @property
     def flushing(self) -> bool:
-        """Part of an answer is still to be written."""
+        """True if part of a response is still to be written."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     @property
     def has_unread(self) -> bool:
-        """Bytes of it wait to be read, perhaps a request: it comes up, or the machine has not let them be read yet."""
+        """True if received bytes, possibly a request, may not have been read yet; always while it is being attached."""
         if self._transport is None:
             return True
         return self._server.system.has_unread(self._transport.get_extra_info("socket"))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        if self._ended:  # it had to make place before it came up
+        if self._ended:  # it was evicted before its transport was made
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
         try:
-            self._take_in(data)
-        except Exception:  # a fault of ours: the transport would end the connection, and the request with it
-            log.exception("a request could not be taken")
-            self._give_up()
+            self._handle_data(data)
+        except Exception:  # a bug here: asyncio would drop the connection, and the request without a response
+            log.exception("a request could not be handled")
+            self._fail_request()
 
-    def _give_up(self) -> None:
-        """Answer what may have been read with a failure, and end the connection."""
+    def _fail_request(self) -> None:
+        """Answer with status 500 and end the connection."""
         if self.busy:
             self._current = None
             self._service.client_gone(self)
-        self.turn_away(500)
+        self.reject(500)
 
-    def _take_in(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         if self._ended:
-            self._drained += len(data)
-            if self._drained > DRAIN_BYTES and self._transport is not None:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_DISCARDED_BYTES and self._transport is not None:
                 self._transport.pause_reading()
             return
-        received, began = now_ns(), self._reader.begun
+        received, was_in_message = now_ns(), self._reader.in_message
         requests = self._reader.feed(data)
         if self.busy:
-            if requests or self._reader.begun or self._reader.error_status:  # an empty line is none of these
-                self._pipelined()
+            if requests or self._reader.in_message or self._reader.error_status:  # an empty line is none of these
+                self._reject_pipelined()
         elif self._reader.error_status:
-            self.turn_away(self._reader.error_status)
-        elif len(requests) > 1 or (requests and self._reader.begun):
-            self.turn_away(400)
+            self.reject(self._reader.error_status)
+        elif len(requests) > 1 or (requests and self._reader.in_message):
+            self.reject(400)
         elif requests:
-            self._begin(requests[0], received)
-        elif self._reader.begun and not began:
+            self._begin_request(requests[0], received)
+        elif self._reader.in_message and not was_in_message:
             self._server.await_request(self)
 
-    def _pipelined(self) -> None:
-        """More came while a request is in hand: neither is served."""
+    def _reject_pipelined(self) -> None:
+        """Data of another request arrived while one is being answered: neither is served."""
         self._current = None
         self._service.client_gone(self)
-        if self._writable is not None:
+        if self._on_writable is not None:
             self.abort_stream()
         else:
-            self.turn_away(400)
+            self.reject(400)
 
     def eof_received(self) -> None:
-        """A client that ends its sending has gone away: the transport closes."""
+        """A client that ends its sending counts as gone: returning None closes the transport."""
 
     def connection_lost(self, error: Exception | None) -> None:
         self._ended = True
@@ -130,25 +135,25 @@
             self._service.client_gone(self)
 
     def pause_writing(self) -> None:
-        """It does not read its answers: no more requests of it, and its time runs."""
+        """The client does not read its responses: read no more requests from it; its timeout keeps running."""
         if self._transport is not None and not self._ended:
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
         if self._transport is not None and not self._ended:
             self._transport.resume_reading()
-        if self._writable is not None:
-            self._writable()
+        if self._on_writable is not None:
+            self._on_writable()
 
-    def _begin(self, request: Message, received_ns: int) -> None:
-        unread_ns, first = self._unread_ns(), self._first
-        self._first = False
+    def _begin_request(self, request: Message, received_ns: int) -> None:
+        unread_ns, first = self._time_unread_ns(), self._is_first_request
+        self._is_first_request = False
         if (first or unread_ns) and self._peer_has_closed():
-            self.close()  # it has left while its request lay unread: nobody waits for an answer
+            self.close()  # the client left while its request was unread: nobody waits for the response
             return
         received_ns -= unread_ns
         self._current = request
-        self._server.mark(self)
+        self._server.mark_busy_or_idle(self)
         if request.target.partition(b"?")[0] == READY_PATH:
             self.answer(200 if self._service.ready else 503)
         else:
@@ -159,89 +164,90 @@
             return True
         return self._server.system.peer_has_closed(self._transport.get_extra_info("socket"))
 
-    def _unread_ns(self) -> int:
-        """How long the request that has just been read lay in the kernel: its client's time has run since it came."""
-        at_most_s = max(self.unread_at_most_s, self._server.unread_at_most_s())
-        self.unread_at_most_s = 0.0
-        if at_most_s < READ_LATE_S or self._transport is None:
+    def _time_unread_ns(self) -> int:
+        """How long the request just read lay in the kernel: the client's deadline counts from its arrival."""
+        max_wait_s = max(self.max_unread_s, self._server.max_unread_s())
+        self.max_unread_s = 0.0
+        if max_wait_s < MIN_READ_DELAY_S or self._transport is None:
             return 0
         connection = self._transport.get_extra_info("socket")
-        return int(min(at_most_s, self._server.system.since_last_data_s(connection)) * SECOND)
+        return int(min(max_wait_s, self._server.system.since_last_data_s(connection)) * SECOND)
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
-        """The final answer of the current request."""
+        """Send the complete response to the current request."""
         if self._current is None or self._transport is None:
             return
-        last = not self._current.keep_alive or self._server.draining or self._server.crowded
+        close_after = not self._current.keep_alive or self._server.draining or self._server.near_capacity
         self._current = None
-        self._transport.write(write_response(status, headers, body, last))
-        if last:
+        self._transport.write(write_response(status, headers, body, close_after))
+        if close_after:
             self.close()
         else:
-            self._server.mark(self)
+            self._server.mark_busy_or_idle(self)
 
-    def begin_stream(self, headers: Headers, length: int | None, writable: Callable[[], None]) -> None:
-        """The current request's 200, whose body follows in pieces; `writable` is told when all written is gone."""
+    def begin_stream(self, headers: Headers, length: int | None, on_writable: Callable[[], None]) -> None:
+        """Start a streamed response with status 200; `on_writable` is called when all written data is sent."""
         if self._current is None or self._transport is None:
             return
-        self._chunked = length is None and not self._current.old
-        self._last = (
+        self._chunked = length is None and not self._current.http_1_0
+        self._closes_after = (
             not self._current.keep_alive
             or self._server.draining
-            or self._server.crowded
+            or self._server.near_capacity
             or (length is None and not self._chunked)
         )
-        self._writable = writable
-        self._transport.set_write_buffer_limits(high=0)  # to be told when all that was written has gone
-        self._transport.write(write_stream_head(200, headers, length, self._last, self._chunked))
+        self._on_writable = on_writable
+        self._transport.set_write_buffer_limits(high=0)  # calls resume_writing when all data is sent
+        self._transport.write(write_stream_head(200, headers, length, self._closes_after, self._chunked))
 
     def write_piece(self, data: bytes) -> bool:
-        """One piece of the body; True if it has gone out already."""
-        if self._transport is None or self._writable is None:
+        """Write a piece of a streamed body; True if it was sent at once."""
+        if self._transport is None or self._on_writable is None:
             return True
         self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
         return self._transport.get_write_buffer_size() == 0
 
     def end_stream(self) -> None:
-        """All of the body has been passed on."""
+        """Complete the streamed response."""
         if self._current is None or self._transport is None:
             return
-        self._current = self._writable = None
+        self._current = self._on_writable = None
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
         self._transport.set_write_buffer_limits()
-        if self._last or self._server.draining:
+        if self._closes_after or self._server.draining:
             self.close()
         else:
-            self._server.mark(self)
+            self._server.mark_busy_or_idle(self)
 
     def abort_stream(self) -> None:
-        """The answer can't be finished: its end is missing, by which the client can tell."""
-        self._current = self._writable = None
+        """Abort a streamed response; the client can tell by its missing end."""
+        self._current = self._on_writable = None
         self._server.forget(self)
         self.abort()
 
-    def turn_away(self, status: int) -> None:
-        """Say what is wrong and end the connection."""
+    def reject(self, status: int) -> None:
+        """Send an error status and end the connection."""
         if self._ended:
             return
         self._ended = True
-        self._server.leave(self)
+        self._server.start_closing(self)
         if self._transport is None:
             return
         self._transport.write(write_response(status, (), b"", True))
-        # Closing at once, with unread input, resets the connection: the answer would be lost on its way.
+        # Closing at once with unread input would reset the connection, and the response could be lost.
         if self._transport.can_write_eof():
             self._transport.write_eof()
 
     def close(self) -> None:
-        """Close the connection between requests; what has been answered is still written, for a while."""
+        """Close the connection between requests; responses still to be written are sent, for a limited time."""
         self._ended = True
-        self._server.leave(self, self.flushing)
+        self._server.start_closing(self, self.flushing)
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
+        """Close the connection at once, dropping unsent data."""
         self._ended = True
         if self._transport is not None:
             self._transport.abort()
--- a/lanemux/net/connection_table.py
+++ b/lanemux/net/connection_table.py
@@ -1,4 +1,4 @@
-"""Clients' connections in the order in which they came to a state."""
+"""Ordered sets of client connections that are in the same state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ConnectionTable:
-    """Connections in the order in which they came to it."""
+    """Connections in the order in which they were added."""
 
     def __init__(self) -> None:
         self._members: dict[ClientConnection, None] = {}
@@ -22,18 +22,21 @@
         return client in self._members
 
     def add(self, client: ClientConnection) -> None:
+        """Add a connection at the end; one already present moves there."""
         self._members.pop(client, None)
         client.since = asyncio.get_running_loop().time()
         self._members[client] = None
 
     def discard(self, client: ClientConnection) -> None:
+        """Remove a connection if it is present."""
         self._members.pop(client, None)
 
     def members(self) -> list[ClientConnection]:
+        """A copy, oldest first."""
         return list(self._members)
 
     def oldest(self, age_s: float = 0.0) -> ClientConnection | None:
-        """The first that came, if it has been here for so long."""
+        """The connection added first, if that was at least `age_s` ago."""
         client = next(iter(self._members), None)
         if client is None or asyncio.get_running_loop().time() - client.since < age_s:
             return None
--- a/lanemux/net/http.py
+++ b/lanemux/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: parsing, writing and their limits. No sockets."""
+"""Parses and serializes HTTP/1.1 messages, within limits. No I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 
 import httptools
 
-MAX_BODY = 64 * 1024  # bytes of a request's body
-MAX_RESPONSE = 1024 * 1024  # of an answer's: upstreams send some of 400 KB, though 64 are agreed
-MAX_STREAM = 64 * 1024 * 1024  # of one that is passed on as it comes: twice what is promised; 3 GB are none
-MAX_BUFFERED_RESPONSE = 64 * 1024  # so much of an answer is taken whole, and may be made by another attempt
-MAX_HEAD = 16 * 1024  # bytes of a head, or of a body's trailers with it
-FRAMING = 8  # times its body that a chunked message may take: a byte a chunk takes six
-MOST_LOAD = 1e12  # of any figure in a load report; what is above has no meaning
-MAX_ANNOUNCED = 16  # 1xx answers ahead of an answer
+MAX_REQUEST_BODY = 64 * 1024  # bytes of a request's body
+MAX_RESPONSE = 1024 * 1024  # bytes of a response's body: upstreams send some of 400 KB, though 64 KB were agreed
+# Bytes of a streamed response's body: twice what is promised; a body of 3 GB is refused.
+MAX_STREAMED_RESPONSE = 64 * 1024 * 1024
+MAX_BUFFERED_RESPONSE = 64 * 1024  # bytes; a response up to this is buffered, so another attempt can still supply it
+MAX_HEAD = 16 * 1024  # bytes of a head, or of a head and its body's trailers
+# Bytes that a chunked message may take, as a multiple of its body's limit; with one byte a chunk it takes six times.
+MAX_FRAMING_RATIO = 8
+MAX_LOAD_VALUE = 1e12  # largest meaningful number in a load report; larger ones are ignored
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before a final one
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -48,7 +50,7 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A request (method, target) or a response (status), whole."""
+    """A complete request (method, target) or response (status)."""
 
     headers: list[tuple[bytes, bytes]]
     body: bytes
@@ -56,64 +58,65 @@
     method: bytes = b""
     target: bytes = b""
     status: int = 0
-    old: bool = False  # HTTP/1.0: chunks are not understood
-    length: int | None = None  # of a body that is passed on as it comes, where it is told
-    streamed: bool = False  # its body went by in pieces
+    http_1_0: bool = False  # sent as HTTP/1.0: its sender does not understand chunked encoding
+    length: int | None = None  # Content-Length of a streamed body, if given
+    streamed: bool = False  # its body was passed on in pieces, and `body` is empty
 
     def header(self, name: bytes) -> bytes:
+        """The first value of a header, given in lower case; empty if it is missing."""
         return next((v for k, v in self.headers if k == name), b"")
 
     def end_to_end(self) -> list[tuple[bytes, bytes]]:
-        """The headers that a proxy passes on."""
-        named = {n.strip().lower() for n in self.header(b"connection").split(b",")}
-        return [(k, v) for k, v in self.headers if k not in HOP_BY_HOP and k not in named]
+        """The end-to-end headers, which a proxy forwards."""
+        connection_options = {n.strip().lower() for n in self.header(b"connection").split(b",")}
+        return [(k, v) for k, v in self.headers if k not in HOP_BY_HOP and k not in connection_options]
 
 
 class MessageReader:
-    """Cuts what a connection brings into messages; header names come out in lower case.
+    """Parses a connection's bytes into messages; header names are in lower case.
 
-    Where responses may be passed on as they come, a long 200's `head` and `pieces` are there to be taken after `feed`;
-    the message at its end has no body then."""
+    If `stream` is set, a long response with status 200 is streamed: after each `feed` the caller takes its `head` and
+    `pieces`, and the message returned at its end has no body."""
 
-    def __init__(self, responses: bool = False, max_body: int = MAX_BODY, stream: bool = False) -> None:
+    def __init__(self, responses: bool = False, max_body: int = MAX_REQUEST_BODY, stream: bool = False) -> None:
         self._stream = stream
-        self.head: Message | None = None  # of an answer to be passed on, until it is taken
-        self.pieces: list[bytes] = []  # of its body
+        self.head: Message | None = None  # of a streamed response, until the caller takes it
+        self.pieces: list[bytes] = []  # of its body, until the caller takes them
         self._parser = httptools.HttpResponseParser(self) if responses else httptools.HttpRequestParser(self)
         self._max_body = max_body
-        self._ready: list[Message] = []
-        self._fed = 0  # bytes of a message that is not whole yet, its framing included
-        self._announced = 0  # 1xx answers ahead of the one that counts
-        self.begun = False  # a message has begun that is not whole yet
-        self.error_status = 0  # what to tell a peer that sent what HTTP or our limits do not allow; reading is over
-        self._fresh()
-
-    def _fresh(self) -> None:
+        self._complete: list[Message] = []
+        self._message_bytes = 0  # bytes read of an incomplete message, with its framing
+        self._interim_count = 0  # 1xx responses since the last final one
+        self.in_message = False  # a message has begun and is not complete
+        self.error_status = 0  # status to answer an invalid or too large message with; nothing more is read then
+        self._reset_message()
+
+    def _reset_message(self) -> None:
         self._headers: list[tuple[bytes, bytes]] = []
         self._target = b""
         self._body = bytearray()
         self._head_size = 0
         self._in_body = False
-        self._length: int | None = None  # of the body, as told
+        self._length: int | None = None  # from Content-Length
         self._chunked = self._streaming = False
-        self._passed = 0  # bytes of a body that went on in pieces
+        self._streamed_bytes = 0  # bytes of a body passed on in pieces
 
     @property
-    def held_back(self) -> bool:
-        """Part of an answer's body is here, and how long it will be is not told."""
-        return self._long and self._in_body and not self._streaming and bool(self._body) and self._length is None
+    def has_buffered_body(self) -> bool:
+        """True if part of a response's body of unknown length is buffered."""
+        return self._streamable and self._in_body and not self._streaming and bool(self._body) and self._length is None
 
     @property
-    def ends_with_connection(self) -> bool:
-        """The answer that is coming is whole when its sender ends the connection (RFC 9112, 6.3)."""
+    def ends_on_close(self) -> bool:
+        """True if the end of the connection marks the end of the current response (RFC 9112, 6.3)."""
         return self._in_body and self._length is None and not self._chunked and not self.error_status
 
-    def pass_on(self) -> None:
-        """Pass on what is held back, and all that still comes."""
-        if self.held_back:
-            self._begin_stream()
+    def stream_buffered(self) -> None:
+        """Stream the buffered part of the response and everything that follows."""
+        if self.has_buffered_body:
+            self._start_stream()
 
-    def _begin_stream(self) -> None:
+    def _start_stream(self) -> None:
         self._streaming = True
         self.head = Message(self._headers, b"", self._parser.should_keep_alive(), status=200, length=self._length)
         if self._body:
@@ -121,31 +124,33 @@
             self._body.clear()
 
     def finish(self) -> list[Message]:
-        """The sender has ended the connection: the answer that this makes whole."""
-        if self.ends_with_connection:
+        """The sender has ended the connection: returns the response that this completes, if any."""
+        if self.ends_on_close:
             self.on_message_complete()
-        ready, self._ready = self._ready, []
-        return ready
+        complete, self._complete = self._complete, []
+        return complete
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
-        """The messages that are now whole; `bad` is set if what came after them can't be read."""
-        self._fed += len(data)
+        """Parse more bytes and return the messages now complete. `error_status` is set if what follows is invalid."""
+        self._message_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._ready = self._ready[:-1]  # no other protocol is spoken here
+            self._complete = self._complete[:-1]  # protocol upgrades are not supported
             self._refuse(400)
         except httptools.HttpParserError:
             self._refuse(400)
-        if not self._in_body and self._fed > MAX_HEAD:
-            self._refuse(431)  # a head without end must not fill the memory
-        elif self._fed > MAX_HEAD + FRAMING * (MAX_STREAM if self._streaming else self._max_body):
-            self._refuse(413)  # nor must chunk extensions without end keep the parser busy
+        if not self._in_body and self._message_bytes > MAX_HEAD:
+            self._refuse(431)  # an endless head must not exhaust the memory
+        elif self._message_bytes > MAX_HEAD + MAX_FRAMING_RATIO * (
+            MAX_STREAMED_RESPONSE if self._streaming else self._max_body
+        ):
+            self._refuse(413)  # nor endless chunk extensions keep the parser busy
         if self.error_status:
-            self._fresh()
+            self._reset_message()
             self.head, self.pieces = None, []
-        ready, self._ready = self._ready, []
-        return ready
+        complete, self._complete = self._complete, []
+        return complete
 
     def _refuse(self, status: int) -> None:
         self.error_status = self.error_status or status
@@ -153,19 +158,20 @@
     # -- called by httptools --
 
     def on_message_begin(self) -> None:
-        self.begun = True
+        self.in_message = True
 
     def on_url(self, url: bytes) -> None:
         self._target += url
-        self._count(len(url))
+        self._add_head_size(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._count(len(name) + len(value) + 4)
-        # Behind a chunked body come trailers. They must not pass for headers that the head did not have.
+        self._add_head_size(len(name) + len(value) + 4)
+        # Trailers after a chunked body must not be taken for headers.
         if not self._in_body and not self.error_status:
-            self._headers.append((name.lower(), value.strip(b" \t")))  # cut in two reads, it keeps the space behind
+            # The parser keeps trailing space if a value spans reads.
+            self._headers.append((name.lower(), value.strip(b" \t")))
 
-    def _count(self, size: int) -> None:
+    def _add_head_size(self, size: int) -> None:
         self._head_size += size
         if self._head_size > MAX_HEAD:
             self._refuse(431)
@@ -177,29 +183,34 @@
         for name, value in self._headers:
             if name == b"content-length":
                 self._length = int(value)
-                if self._length > self._most:
-                    self._refuse(413)  # not only when that much has come
+                if self._length > self._body_limit:
+                    self._refuse(413)  # before the body is read
             elif name == b"transfer-encoding":
                 self._chunked = True
                 if value.lower() != b"chunked":
-                    self._refuse(400)  # a coding that would have to be undone
-        if self._long and self._length is not None and self._length > MAX_BUFFERED_RESPONSE and not self.error_status:
-            self._begin_stream()
+                    self._refuse(400)  # other transfer codings are not supported
+        if (
+            self._streamable
+            and self._length is not None
+            and self._length > MAX_BUFFERED_RESPONSE
+            and not self.error_status
+        ):
+            self._start_stream()
 
     @property
-    def _long(self) -> bool:
-        """Is this an answer that may be passed on as it comes?"""
+    def _streamable(self) -> bool:
+        """True if the current message is a response that may be streamed."""
         parser = self._parser
         return self._stream and isinstance(parser, httptools.HttpResponseParser) and parser.get_status_code() == 200
 
     @property
-    def _most(self) -> int:
-        return MAX_STREAM if self._long else self._max_body
+    def _body_limit(self) -> int:
+        return MAX_STREAMED_RESPONSE if self._streamable else self._max_body
 
     def on_body(self, data: bytes) -> None:
         if self._streaming:
-            self._passed += len(data)
-            if self._passed > MAX_STREAM:
+            self._streamed_bytes += len(data)
+            if self._streamed_bytes > MAX_STREAMED_RESPONSE:
                 self._refuse(413)
             self.pieces.append(data)
             return
@@ -207,8 +218,8 @@
             self._refuse(413)
         if not self.error_status:
             self._body += data
-            if len(self._body) > MAX_BUFFERED_RESPONSE and self._long:
-                self._begin_stream()
+            if len(self._body) > MAX_BUFFERED_RESPONSE and self._streamable:
+                self._start_stream()
 
     def on_message_complete(self) -> None:
         if self.error_status:
@@ -217,37 +228,38 @@
             self._headers,
             bytes(self._body),
             self._parser.should_keep_alive(),
-            old=self._parser.get_http_version() == "1.0",
+            http_1_0=self._parser.get_http_version() == "1.0",
             streamed=self._streaming,
         )
         if isinstance(self._parser, httptools.HttpRequestParser):
             message.method, message.target = self._parser.get_method(), self._target
         else:
             message.status = self._parser.get_status_code()
-        self._fed, self.begun = 0, False
-        self._fresh()
+        self._message_bytes, self.in_message = 0, False
+        self._reset_message()
         if message.status == 0 or message.status >= 200:
-            self._ready.append(message)
-            self._announced = 0
+            self._complete.append(message)
+            self._interim_count = 0
             return
-        self._announced += 1  # 1xx only announces the answer
-        if self._announced > MAX_ANNOUNCED:
+        self._interim_count += 1  # an interim (1xx) response; the final one follows
+        if self._interim_count > MAX_INTERIM_RESPONSES:
             self._refuse(400)
 
 
-def _head(first: bytes, headers: Headers, body: bytes, with_length: bool) -> bytes:
-    lines = [first, *(k + b": " + v for k, v in headers)]
+def _head(start_line: bytes, headers: Headers, body: bytes, with_length: bool) -> bytes:
+    lines = [start_line, *(k + b": " + v for k, v in headers)]
     if with_length:
         lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
 def write_request(method: bytes, target: bytes, headers: Headers, body: bytes = b"") -> bytes:
+    """Serialize a request."""
     return _head(method + b" " + target + b" HTTP/1.1", headers, body, bool(body) or method != b"GET")
 
 
 def write_stream_head(status: int, headers: Headers, length: int | None, close: bool, chunked: bool) -> bytes:
-    """The head of an answer whose body follows in pieces: of a told length, in chunks, or until the connection ends."""
+    """Serialize the head of a streamed response: with a Content-Length, chunked, or ended by closing the connection."""
     framing = (
         [(b"Content-Length", b"%d" % length)]
         if length is not None
@@ -262,18 +274,19 @@
 
 
 def write_response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
+    """Serialize a whole response."""
     reason = REASONS.get(status, "Unknown").encode()
     extra = [(b"Connection", b"close")] if close else []
     return _head(b"HTTP/1.1 %d %s" % (status, reason), [*headers, *extra], body, True)
 
 
 def parse_decimal(text: bytes) -> int | None:
-    """A header's plain decimal number; None for anything else, also a number of absurd length."""
+    """Parse a header's plain decimal number; None for anything else, and for more than 15 digits."""
     return int(text) if text.isdigit() and len(text) <= 15 else None
 
 
 def read_json(text: bytes | str) -> object:
-    """What a JSON text says; ValueError also for one that is nested too deep to be read."""
+    """Parse JSON; raises ValueError also for input that is nested too deeply."""
     try:
         return json.loads(text)
     except RecursionError:
@@ -281,7 +294,7 @@
 
 
 def load_report(text: bytes) -> dict[str, float] | None:
-    """A load report as the module takes it: the numbers of a JSON object that a load can be."""
+    """Parse a load report: the JSON object's members that are valid loads; None if it is not a JSON object."""
     try:
         value = read_json(text)
     except ValueError:
@@ -291,5 +304,5 @@
     return {
         k: float(v)
         for k, v in value.items()
-        if isinstance(v, int | float) and not isinstance(v, bool) and 0 <= v <= MOST_LOAD
+        if isinstance(v, int | float) and not isinstance(v, bool) and 0 <= v <= MAX_LOAD_VALUE
     }
--- a/lanemux/net/server.py
+++ b/lanemux/net/server.py
@@ -1,4 +1,4 @@
-"""The side of the clients: listening, and the connections that are there."""
+"""The listener for clients: accepting, limits on connections, and timeouts."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-ACCEPTS_PER_TURN = 16  # connections accepted before other work gets its turn
-FAILED_ACCEPTS = 8  # failures before other work gets its turn
-ACCEPT_PAUSE_S = 0.05  # after the system had no descriptor to give
-LINGER_S = 0.5  # a client that was turned away may still read the answer for so long
-FLUSH_S = 3.0  # and for the last bytes of a large answer to go out
-REQUEST_TIMEOUT_S = 2.25  # from connecting, or a request's first byte, to its last one
-IDLE_TIMEOUT_S = 2.0  # between requests, the least that is promised: some keep theirs for good
-CROWDED_SHARE = 0.6  # of the places; while more are taken, answers end their connections
-FRESH_S = 0.05  # so young a connection makes no place for others: its request may be on the way
-CLOSES_PER_TURN = 4  # connections closed in a turn of the loop, where clients are sent away
-SILENT_S = 0.3  # so old a connection without a first request is not one on which it is on the way
-DEAF_S = 1.0  # not accepting without a reason for so long is a fault
-TICK_S = 0.1  # how often the times above are looked at
+ACCEPTS_PER_TURN = 16  # connections accepted per loop iteration
+FAILED_ACCEPTS = 8  # failed accepts per loop iteration
+ACCEPT_PAUSE_S = 0.05  # pause after an accept failed, for example for lack of descriptors
+LINGER_S = 0.5  # time for a rejected client to read its response
+FLUSH_S = 3.0  # time for the rest of a large response to be sent
+REQUEST_TIMEOUT_S = 2.25  # from connecting, or a request's first byte, to the request's last byte
+IDLE_TIMEOUT_S = 2.0  # between requests: the least that is promised, as some clients keep connections for ever
+NEAR_CAPACITY_SHARE = 0.6  # of the capacity; above it, connections are closed after their response
+GRACE_S = 0.05  # a younger connection is not evicted: its request may be on the way
+CLOSES_PER_TURN = 4  # connections closed per loop iteration while clients are being sent away
+MIN_SILENT_S = 0.3  # a connection silent for this long has no first request on the way
+MAX_UNWATCHED_S = 1.0  # not accepting for this long without a reason is an error
+TICK_S = 0.1  # interval at which timeouts are checked
 
 
 class Server:
-    """Listens, bounds the connections and the times that clients may take for what they owe."""
+    """Accepts clients' connections, bounds their number, and enforces the timeouts on their requests."""
 
     def __init__(
         self,
@@ -51,95 +51,101 @@
         self._service = service
         self._counter = counter
         self._admission = admission
-        self._pending: dict[ClientConnection, socket.socket] = {}  # with admission: have said nothing, and cost little
+        # With admission: connections that have sent nothing yet; they have no transport, to keep them cheap.
+        self._pending: dict[ClientConnection, socket.socket] = {}
         self._capacity = capacity
         self.system = system
-        self._connections: dict[ClientConnection, None] = {}  # in the order in which they came
+        self._connections: dict[ClientConnection, None] = {}  # in order of arrival
         self._idle = ConnectionTable()  # between requests
-        self._awaiting_request = ConnectionTable()  # a request of theirs is due: the first one, or one that has begun
-        self._lingering = ConnectionTable()  # closed or turned away, their last bytes still on the way
-        self._flushing = ConnectionTable()  # closed, but a good part of an answer is still to be written
+        self._awaiting_request = ConnectionTable()  # their first request is due, or the rest of one that has begun
+        self._lingering = ConnectionTable()  # closed or rejected, their last bytes not sent yet
+        self._flushing = ConnectionTable()  # closed, with part of a response still to be written
         self._attaching: dict[asyncio.Task[object], None] = {}
         self._listener: Listener | None = None
-        self._accepted_total = 0  # connections so far
+        self._accepted_total = 0  # connections accepted so far
         self._accepting = False
-        self._opening: asyncio.TimerHandle | None = None  # an inherited listener is not accepted from yet
-        self._ticking: asyncio.TimerHandle | None = None
+        self._inherit_timer: asyncio.TimerHandle | None = None  # runs until an inherited listener is accepted from
+        self._tick_timer: asyncio.TimerHandle | None = None
         self._tick_due = 0.0  # by the loop's clock
-        self._awake_from = -FRESH_S  # it woke from a standstill then
-        self._standstill_s = 0.0  # which had lasted so long at the most
-        self._accept_retry: asyncio.TimerHandle | None = None  # accepting has failed, and rests until then
-        self._evicted_for_accept = False  # a connection made place for one that could not be accepted
-        self._not_accepting_since: float | None = None  # connections may wait in the backlog since then
-        self._deaf_since_s: float | None = None  # it should accept and does not, since then
-        self._put_off = False  # the last look at the times above was put off for a standstill
-        self.draining = False
+        self._resumed_at_s = -GRACE_S  # when the loop ran again after its last stall
+        self._max_stall_s = 0.0  # upper bound of how long that stall lasted
+        self._accept_retry: asyncio.TimerHandle | None = None  # runs while accepting is paused after a failure
+        self._evicted_for_descriptor = False  # a connection was evicted to free a descriptor for the next accept
+        self._not_accepting_since: float | None = None  # since when connections may have waited in the backlog
+        self._not_watched_since_s: float | None = None  # since when it has not accepted without a reason
+        self._check_postponed = False  # the last timeout check was postponed because of a stall
+        self.draining = False  # each connection is closed after its response
 
     def listen(self, host: str, port: int) -> int:
-        """Start to listen; gives the port."""
+        """Start to listen; returns the port."""
         self._listener = self.system.listen((host, port), BACKLOG)
         self._resume()
-        self._tick_again(TICK_S)
+        self._schedule_tick(TICK_S)
         return self._listener.port
 
     def inherit(self, descriptor: int, after_s: float) -> int:
-        """Accept, after a while, from the socket that the platform holds: until then another process may serve it."""
+        """Accept from an inherited listening socket after a delay: until then another process may serve it."""
         self._listener = self.system.inherit(descriptor)
-        self._opening = asyncio.get_running_loop().call_later(after_s, self._open)
-        self._tick_again(TICK_S)
+        self._inherit_timer = asyncio.get_running_loop().call_later(after_s, self._open_inherited)
+        self._schedule_tick(TICK_S)
         return self._listener.port
 
-    def _stood_still(self) -> bool:
-        """The loop has not run for a while, or only for a moment since: what was sent to it may not have been read yet.
+    def _recently_stalled(self) -> bool:
+        """True if the loop stalled and has run only briefly since, so received data may not have been read yet.
 
-        Guards against holding this process's own standstill against clients whose requests lie in their sockets."""
+        Prevents clients from being timed out for this process's own stall, with their requests unread in the kernel."""
         now = asyncio.get_running_loop().time()
-        if now - self._tick_due > FRESH_S and self._awake_from < self._tick_due:
-            self._awake_from = now
-            self._standstill_s = now - self._tick_due + TICK_S
-        return now < self._awake_from + FRESH_S
+        if now - self._tick_due > GRACE_S and self._resumed_at_s < self._tick_due:
+            self._resumed_at_s = now
+            self._max_stall_s = now - self._tick_due + TICK_S
+        return now < self._resumed_at_s + GRACE_S
 
-    def unread_at_most_s(self) -> float:
-        """How long what is read now may have waited in the kernel, by what this process knows of itself, in s."""
+    def max_unread_s(self) -> float:
+        """Upper bound, in s, of how long data read now may have waited in the kernel because of this process."""
         loop = asyncio.get_running_loop()
         failing_s = loop.reading_failed_for_s() if isinstance(loop, EventLoop) else 0.0
-        if not self._stood_still():
+        if not self._recently_stalled():
             return failing_s
-        return max(failing_s, self._standstill_s + loop.time() - self._awake_from)
+        return max(failing_s, self._max_stall_s + loop.time() - self._resumed_at_s)
 
     def _tick(self) -> None:
         try:
-            self._look_at_times()
+            self._close_overdue()
             self._check_listener()
         finally:
-            if self._ticking is None:
-                self._tick_again(TICK_S)
+            if self._tick_timer is None:
+                self._schedule_tick(TICK_S)
 
     def _check_listener(self) -> None:
-        """A balancer that should accept and does not has lost its registration somewhere: it is made anew."""
+        """Register the listening socket again if it should be accepted from and is not: its registration was lost."""
         now_s = asyncio.get_running_loop().time()
-        rests = self._opening is not None or self._accept_retry is not None or len(self._connections) >= self._capacity
-        if self._listener is None or self._accepting or rests:
-            self._deaf_since_s = None
-        elif self._deaf_since_s is None:
-            self._deaf_since_s = now_s
-        elif now_s - self._deaf_since_s > DEAF_S:
+        paused = (
+            self._inherit_timer is not None
+            or self._accept_retry is not None
+            or len(self._connections) >= self._capacity
+        )
+        if self._listener is None or self._accepting or paused:
+            self._not_watched_since_s = None
+        elif self._not_watched_since_s is None:
+            self._not_watched_since_s = now_s
+        elif now_s - self._not_watched_since_s > MAX_UNWATCHED_S:
             log.error(
-                "the listening socket was not looked at for %.1f s; it is from now on", now_s - self._deaf_since_s
+                "the listening socket was not registered for %.1f s; registering it again",
+                now_s - self._not_watched_since_s,
             )
             self._resume()
 
-    def _look_at_times(self) -> None:
-        # One look in a row is put off at the most: a loop that is always late has read its sockets in between, and
-        # would never close anybody.
-        self._ticking = None
-        self._put_off = self._stood_still() and not self._put_off
-        if self._put_off:
-            self._tick_again(FRESH_S)
+    def _close_overdue(self) -> None:
+        # At most one check in a row is postponed: a loop that is always late has read its sockets since then, and would
+        # otherwise never close a connection.
+        self._tick_timer = None
+        self._check_postponed = self._recently_stalled() and not self._check_postponed
+        if self._check_postponed:
+            self._schedule_tick(GRACE_S)
             return
         while (client := self._awaiting_request.oldest(REQUEST_TIMEOUT_S)) is not None:
             if client.receiving:
-                client.turn_away(408)
+                client.reject(408)
             else:
                 client.close()
         while (client := self._idle.oldest(IDLE_TIMEOUT_S)) is not None:
@@ -149,15 +155,15 @@
                 self.forget(client)
                 client.abort()
 
-    def _tick_again(self, wait_s: float) -> None:
+    def _schedule_tick(self, wait_s: float) -> None:
         loop = asyncio.get_running_loop()
-        if self._ticking is not None:
-            self._ticking.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         self._tick_due = loop.time() + wait_s
-        self._ticking = loop.call_at(self._tick_due, self._tick)
+        self._tick_timer = loop.call_at(self._tick_due, self._tick)
 
-    def _open(self) -> None:
-        self._opening = None
+    def _open_inherited(self) -> None:
+        self._inherit_timer = None
         self._resume()
 
     def _resume(self) -> None:
@@ -174,22 +180,22 @@
             if for_s is not None:
                 asyncio.get_running_loop().call_later(for_s, self._resume)
 
-    def _accept(self, most: int = 0) -> bool:
-        """Take in connections that have come up: so many (0: a turn's) at the most. True if none waits any more."""
+    def _accept(self, limit: int = 0) -> bool:
+        """Accept up to `limit` connections (0: ACCEPTS_PER_TURN). True if the backlog is empty."""
         admission, before = self._admission, self._accepted_total
         if admission is None:
-            return self._accept_connections(most or ACCEPTS_PER_TURN)
-        none_waits = self._accept_connections(max(most, admission.begin_accepting(now_ns())))
+            return self._accept_connections(limit or ACCEPTS_PER_TURN)
+        backlog_empty = self._accept_connections(max(limit, admission.begin_accepting(now_ns())))
         admission.end_accepting(self._accepted_total - before, now_ns())
-        return none_waits
+        return backlog_empty
 
     def _accept_connections(self, limit: int) -> bool:
         assert self._listener is not None
         failed, accepted_some = 0, False
         for _ in range(limit):
-            if len(self._connections) >= self._capacity and self._dispensable() is None:
-                # Where all are busy, the first to end lets the next one in.
-                self._pause(FRESH_S if self._awaiting_request else None)
+            if len(self._connections) >= self._capacity and self._eviction_candidate() is None:
+                # If all are busy, accepting resumes when one of them ends.
+                self._pause(GRACE_S if self._awaiting_request else None)
                 return False
             try:
                 accepted = self._listener.accept()
@@ -200,26 +206,26 @@
                 self._counter.call_failed("accept", name_of(error))
                 failed += 1
                 if not is_out_of_descriptors(error) and failed < FAILED_ACCEPTS:
-                    continue  # the next one may be sound
+                    continue  # the next connection may be accepted
                 if accepted_some and not is_out_of_descriptors(error):
-                    return False  # on in the loop's next turn
+                    return False  # continue in the next loop iteration
                 self._accept_later(error)
                 return False
             accepted_some = True
-            self._evicted_for_accept = False
+            self._evicted_for_descriptor = False
             if len(self._connections) >= self._capacity:
-                self._evict()  # not before one has come: it might be the last that came
+                self._evict()  # only now that one has been accepted, as there may have been none to accept
             self._register(accepted)
         return False
 
     def _accept_later(self, error: OSError) -> None:
-        """The machine gives no connection now (asyncio's own server would stop for a second)."""
-        if is_out_of_descriptors(error) and not self._evicted_for_accept:
-            self._evicted_for_accept = self._evict()  # the loop's next turn finds its descriptor free
-            if self._evicted_for_accept:
+        """Accepting failed: retry after a short pause (asyncio's own server would pause for a second)."""
+        if is_out_of_descriptors(error) and not self._evicted_for_descriptor:
+            self._evicted_for_descriptor = self._evict()  # its descriptor is free in the next loop iteration
+            if self._evicted_for_descriptor:
                 return
         log.warning("accept: %s", error)
-        self._evicted_for_accept = False
+        self._evicted_for_descriptor = False
         self._pause()
         if self._accept_retry is None:
             self._accept_retry = asyncio.get_running_loop().call_later(ACCEPT_PAUSE_S, self._resume_after_failure)
@@ -228,50 +234,50 @@
         self._accept_retry = None
         self._resume()
 
-    def _dispensable(self) -> ClientConnection | None:
-        """Who makes place for a new one: first who is leaving, then who owes a request, then who is idle."""
-        if self._stood_still():
+    def _eviction_candidate(self) -> ClientConnection | None:
+        """The connection to evict for a new one: one being closed, else one whose request is due, else an idle one."""
+        if self._recently_stalled():
             return self._lingering.oldest()
-        owing = self._lingering.oldest() or self._awaiting_request.oldest(FRESH_S)
+        without_request = self._lingering.oldest() or self._awaiting_request.oldest(GRACE_S)
         idle = self._idle.oldest(REQUEST_TIMEOUT_S if self._awaiting_request else 0.0)
-        return owing or (idle if idle is not None and not idle.flushing else None)
+        return without_request or (idle if idle is not None and not idle.flushing else None)
 
     def _register(self, accepted: socket.socket) -> None:
         client = ClientConnection(self, self._service)
-        client.unread_at_most_s = self.unread_at_most_s()
+        client.max_unread_s = self.max_unread_s()
         if self._not_accepting_since is not None:
             waited_s = asyncio.get_running_loop().time() - self._not_accepting_since
-            client.unread_at_most_s = max(client.unread_at_most_s, waited_s)
+            client.max_unread_s = max(client.max_unread_s, waited_s)
         self._connections[client] = None
         self._awaiting_request.add(client)
         self._accepted_total += 1
-        if self._admission is None or not self._enter(client, accepted, self._admission):
-            self._attach_soon(client, accepted)
+        if self._admission is None or not self._add_pending(client, accepted, self._admission):
+            self._schedule_attach(client, accepted)
 
-    def _enter(self, client: ClientConnection, accepted: socket.socket, admission: ConnectionAdmission) -> bool:
-        """It waits among the pending connections until it speaks; False if it has broken already."""
+    def _add_pending(self, client: ClientConnection, accepted: socket.socket, admission: ConnectionAdmission) -> bool:
+        """Keep a new connection pending until data arrives; False if it is already broken."""
         try:
             client.source = str(accepted.getpeername()[0])
         except OSError:
             return False
-        scarce = len(self._connections) > CROWDED_SHARE * self._capacity
-        other = admission.victim(client.source) if scarce else None
+        near_limit = len(self._connections) > NEAR_CAPACITY_SHARE * self._capacity
+        other = admission.victim(client.source) if near_limit else None
         if isinstance(other, ClientConnection):
             self.forget(other)
         admission.opened(client.source, client)
         self._pending[client] = accepted
-        asyncio.get_running_loop().add_reader(accepted, self._speaks, client, accepted)
+        asyncio.get_running_loop().add_reader(accepted, self._pending_readable, client, accepted)
         return True
 
-    def _speaks(self, client: ClientConnection, accepted: socket.socket) -> None:
-        """Its first bytes are here, or its end."""
+    def _pending_readable(self, client: ClientConnection, accepted: socket.socket) -> None:
+        """A pending connection has received its first bytes or its end."""
         asyncio.get_running_loop().remove_reader(accepted)
         del self._pending[client]
         assert self._admission is not None
         self._admission.became_active(client.source, client)
-        self._attach_soon(client, accepted)
+        self._schedule_attach(client, accepted)
 
-    def _attach_soon(self, client: ClientConnection, accepted: socket.socket) -> None:
+    def _schedule_attach(self, client: ClientConnection, accepted: socket.socket) -> None:
         task: asyncio.Task[object] = asyncio.get_running_loop().create_task(self._attach(client, accepted))
         self._attaching[task] = None
         task.add_done_callback(lambda task: self._attaching.pop(task, None))
@@ -279,19 +285,19 @@
     async def _attach(self, client: ClientConnection, accepted: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: client, accepted)
-        except OSError:  # it has gone in the meantime
-            self._give_up(client, accepted)
+        except OSError:  # the client has disconnected in the meantime
+            self._discard_accepted(client, accepted)
         except Exception:
-            log.exception("a connection could not be taken up")
-            self._give_up(client, accepted)
+            log.exception("an accepted connection could not be attached")
+            self._discard_accepted(client, accepted)
 
-    def _give_up(self, client: ClientConnection, accepted: socket.socket) -> None:
+    def _discard_accepted(self, client: ClientConnection, accepted: socket.socket) -> None:
         self.forget(client)
         with contextlib.suppress(OSError):
             accepted.close()
 
-    def mark(self, client: ClientConnection) -> None:
-        """The connection has become busy or idle."""
+    def mark_busy_or_idle(self, client: ClientConnection) -> None:
+        """Update the tables after a connection has become busy or idle."""
         self._awaiting_request.discard(client)
         self._idle.discard(client)
         if not client.busy:
@@ -299,14 +305,15 @@
             self._resume()
 
     def await_request(self, client: ClientConnection) -> None:
-        """A request has begun to come: the rest is due."""
-        if client in self._idle:  # for the first request, the time runs from connecting
+        """A request has begun to arrive: start its timeout."""
+        if client in self._idle:  # the first request's timeout runs from connecting
             self._idle.discard(client)
             self._awaiting_request.add(client)
 
-    def leave(self, client: ClientConnection, flushing: bool = False) -> None:
+    def start_closing(self, client: ClientConnection, flushing: bool = False) -> None:
+        """Wait for a closed or rejected connection's last bytes to be sent, for a limited time."""
         if client in self._pending:
-            self.forget(client)  # nothing was said on it: there is nobody to wait for
+            self.forget(client)  # it received nothing, so there is nothing to send
             return
         self._awaiting_request.discard(client)
         self._idle.discard(client)
@@ -314,21 +321,23 @@
             (self._flushing if flushing else self._lingering).add(client)
 
     @property
-    def crowded(self) -> bool:
-        """So many connections are held that clients without one may find none. Pending ones make place for them: a
-        flood of silent ones must not end the others'."""
-        return len(self._connections) - len(self._pending) > CROWDED_SHARE * self._capacity
+    def near_capacity(self) -> bool:
+        """True if few places are left for new clients. Pending connections don't count, as they are evicted first: a
+        flood of silent connections must not close the others."""
+        return len(self._connections) - len(self._pending) > NEAR_CAPACITY_SHARE * self._capacity
 
     @property
     def connection_count(self) -> int:
-        """Connections, and those that only come up."""
+        """The number of connections, including those being attached."""
         return len(self._connections) + len(self._attaching)
 
     @property
     def flushing(self) -> bool:
+        """True if part of any response is still to be written."""
         return bool(self._flushing) or any(client.flushing for client in self._connections)
 
     def forget(self, client: ClientConnection) -> None:
+        """Remove a connection from all tables and free its place."""
         if client in self._connections and client.source and self._admission is not None:
             self._admission.closed(client.source, client)
         if (waiting := self._pending.pop(client, None)) is not None:
@@ -340,8 +349,8 @@
         self._resume()
 
     def _evict(self) -> bool:
-        """Make place for one connection at once."""
-        client = self._dispensable()
+        """Abort one connection to free its place; False if none may be evicted."""
+        client = self._eviction_candidate()
         if client is None:
             return False
         self.forget(client)
@@ -349,7 +358,7 @@
         return True
 
     def close_idle(self, unread_too: bool) -> bool:
-        """Close all on which no whole request has come, those with unread bytes only if told so; True: none is left."""
+        """Close connections without a complete request, if nothing is unread or `unread_too`; True if none is left."""
         for table in (self._idle, self._awaiting_request):
             for client in table.members():
                 if unread_too or not client.has_unread:
@@ -357,13 +366,13 @@
         return not self._idle and not self._awaiting_request
 
     async def close_unused(self, idle_s: float) -> None:
-        """Close all on which no request is open or comes, and none has been for so long, a few in a turn of the loop.
+        """Close the connections without a request that have been unused for `idle_s`, a few per loop iteration.
 
-        Whoever is in use meets the end with its next answer, which crosses nothing: waiting for that spares most.
-        Between two turns all sockets are looked at: a request that has come by then is read, and its connection is
-        left alone. Closing all at once meets those that come meanwhile."""
+        A connection in use is closed with its next response instead, which can't cross a request; that covers most.
+        Between two iterations all sockets are read, and a connection whose request has arrived is left open. Closing
+        all at once would hit requests that arrive meanwhile."""
         closed = 0
-        for table, age_s in ((self._idle, idle_s), (self._awaiting_request, SILENT_S)):
+        for table, age_s in ((self._idle, idle_s), (self._awaiting_request, MIN_SILENT_S)):
             for client in table.members():
                 old = asyncio.get_running_loop().time() - client.since >= age_s
                 if old and client in table and not client.receiving:
@@ -373,19 +382,20 @@
                         await asyncio.sleep(0)
 
     @property
-    def waited_for(self) -> int:
-        """Connections on which a request may still come."""
+    def possible_request_count(self) -> int:
+        """The number of connections on which a request may still arrive."""
         return len(self._idle) + len(self._awaiting_request) + len(self._attaching)
 
-    def accept_last(self) -> bool:
-        """Accept whoever has come up before the listener closes: closing would reset them, requests and all.
+    def accept_backlog(self) -> bool:
+        """Accept the backlog before the listener is closed: closing would reset those connections with their requests.
 
-        True if none waits any more."""
+        True if the backlog is empty."""
         return self._listener is None or self._accept(BACKLOG)
 
     def stop_listening(self) -> None:
-        if self._opening is not None:
-            self._opening.cancel()
+        """Close the listening socket and stop accepting."""
+        if self._inherit_timer is not None:
+            self._inherit_timer.cancel()
         if self._accept_retry is not None:
             self._accept_retry.cancel()
             self._accept_retry = None
@@ -395,10 +405,10 @@
             self._listener = None
 
     def abort(self) -> None:
-        """Give up what is left, at the end of the process."""
+        """Close everything at the end of the process."""
         self.stop_listening()
-        if self._ticking is not None:
-            self._ticking.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         for task in self._attaching:
             task.cancel()
         for client in list(self._connections):
--- a/lanemux/net/upstream.py
+++ b/lanemux/net/upstream.py
@@ -1,4 +1,4 @@
-"""The side of the upstreams: connections, kept between uses, and the exchanges on them."""
+"""Connections to the upstreams: pools of reusable connections and the request/response exchanges on them."""
 
 from __future__ import annotations
 
@@ -19,89 +19,91 @@
 Render = Callable[[], bytes]
 OnDone = Callable[[Result, Message | None], None]
 BodySink = Callable[[bytes], None]
-OnStreamStart = Callable[["Exchange", Message], BodySink | None]  # an answer comes that is too long to be taken whole
+OnStreamStart = Callable[["Exchange", Message], BodySink | None]  # called when a response too long to buffer begins
 
-HELD_BACK_S = 0.02  # of an answer whose length is not told, so long: a spoilt one is mostly found out by then
-MAX_PIECE = 64 * 1024  # bytes read at once at the most, and so passed on
-MIN_PIECE = 4 * 1024  # below that, reading costs more than it carries
-STREAMING_BYTES = 8 * 1024 * 1024  # of all answers that are passed on at once
+# How long the start of a response of unknown length is buffered: most malformed responses show within this time.
+BUFFERING_S = 0.02
+MAX_PIECE = 64 * 1024  # most bytes read, and so passed on, at once
+MIN_PIECE = 4 * 1024  # bytes; below this the overhead of a read outweighs the data
+STREAMING_BYTES = 8 * 1024 * 1024  # read at once by all streamed responses together
 
-IDLE_DEFAULT_S = 10.0  # where the settings do not say how long an upstream keeps a connection
-IDLE_PART = 0.8  # of that time; later, closing and the next request may cross
-FIRST_CONNECT_PAUSE_S, LAST_CONNECT_PAUSE_S = 0.002, 0.02  # between tries that fail on this machine
-KEPT_IDLE = 2  # connections kept to one upstream: each takes a place in its table
+DEFAULT_IDLE_S = 10.0  # used if the settings do not say how long an upstream keeps idle connections
+IDLE_SHARE = 0.8  # of that time; beyond it a request could cross the upstream closing the connection
+FIRST_CONNECT_PAUSE_S, LAST_CONNECT_PAUSE_S = 0.002, 0.02  # between connects that fail locally
+MAX_IDLE_CONNECTIONS = 2  # per upstream: each takes a place in the upstream's connection table
 
 
 class Exchange:
-    """One request on one connection: an attempt, a probe or a call to discovery.
+    """One request and its response on one connection: an attempt, a probe or a call to discovery.
 
-    `done` is called once: with RESULT OK and the response, whatever its status, or with what went wrong.
+    `on_done` is called exactly once: with Result.OK and the response, whatever its status, or with the failure.
     """
 
     def __init__(
         self,
         pool: Pool,
         data: bytes | Render,
-        done: OnDone,
-        spare: int = 0,
+        on_done: OnDone,
+        reserved: int = 0,
         on_written: Callable[[], None] = lambda: None,
         on_stream_start: OnStreamStart | None = None,
     ) -> None:
-        """`data`: its bytes, or what gives them at the moment of writing. `wrote` is told, once, when the last byte is
-        written. `begin` takes an answer that is passed on as it comes, and gives what takes its pieces; without it,
-        such an answer is given up."""
+        """`data` is the request's bytes, or a function called for them at the moment of writing. `on_written` is called
+        once, when the last byte is written. `on_stream_start` accepts a response that is streamed and returns the sink
+        for its body; without it, or if it returns None, such a response ends the exchange as failed. `reserved` is the
+        number of connections that this exchange must leave free for others."""
         self.pool = pool
         self.on_written = on_written
         self._on_stream_start = on_stream_start
-        self._pass_on: BodySink | None = None
-        self.spare = spare  # places that it must leave to others
+        self._body_sink: BodySink | None = None
+        self.reserved = reserved
         self.render: Render = data if callable(data) else lambda: data
         self.over = False
-        self._done = done
+        self._on_done = on_done
         self._connection: Connection | None = None
         self._connecting: Connection | None = None
-        self._opening: asyncio.Task[None] | None = None
+        self._connect_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._never_asked = False  # this machine can't connect: its upstream does not know of it
-        self.local_delay_s = 0.0  # it waited so long for this machine to begin connecting
+        self._failed_locally = False  # the last connect failed on this machine, not at the upstream
+        self.local_delay_s = 0.0  # time lost to connects that failed on this machine
 
     @property
     def waiting(self) -> bool:
-        """No byte of it has been sent yet."""
+        """True until the request is handed to a connection: no byte of it has been sent."""
         return not self.over and self._connection is None
 
     @property
     def target_stale(self) -> bool:
-        """It waits for a connection to where its upstream no longer is, or to one that may get nothing new."""
+        """True if the request is unsent and its upstream has moved or may get no new requests."""
         return self.waiting and (
             not self.pool.ready or (self._connecting is not None and self._connecting.address != self.pool.address)
         )
 
-    def start(self, end_s: float | None) -> None:
-        """Send it as soon as there is a connection; it times out at that time of the loop's clock."""
-        if end_s is not None:
-            self._timer = asyncio.get_running_loop().call_at(end_s, self._time_out)
+    def start(self, deadline_s: float | None) -> None:
+        """Send the request as soon as there is a connection; it times out at `deadline_s` of the loop's clock."""
+        if deadline_s is not None:
+            self._timer = asyncio.get_running_loop().call_at(deadline_s, self._on_timeout)
         connection = self.pool.reuse()
         if connection is not None:
-            self.carry(connection)
-        elif not self.pool.manager.make_place(self.spare):
+            self.send_on(connection)
+        elif not self.pool.manager.make_room(self.reserved):
             asyncio.get_running_loop().call_soon(self.finish, Result.CONNECT_FAILED)
         else:
-            # Its place is taken here: what is begun in the same turn must find it taken.
+            # Counted now, so that other exchanges started in this loop iteration see the slot as taken.
             self._connecting = Connection(self.pool, self.pool.address)
-            self._opening = asyncio.get_running_loop().create_task(self._open(self._connecting))
-            self.pool.manager.own(self._opening)
+            self._connect_task = asyncio.get_running_loop().create_task(self._open(self._connecting))
+            self.pool.manager.track_connect(self._connect_task)
 
-    def _time_out(self) -> None:
-        self.finish(Result.MOOT if self._never_asked and self.waiting else Result.TIMEOUT)
+    def _on_timeout(self) -> None:
+        self.finish(Result.MOOT if self._failed_locally and self.waiting else Result.TIMEOUT)
 
-    def begin_again(self) -> None:
-        """Nothing of it went out, by no fault of the upstream's: it is sent on a new connection, a moment later."""
+    def retry_connect(self) -> None:
+        """Nothing was sent, for a local reason: send the request on a new connection after a short pause."""
         self._connection = None
-        self._never_asked = True
+        self._failed_locally = True
         self._connecting = Connection(self.pool, self.pool.address)
-        self._opening = asyncio.get_running_loop().create_task(self._open(self._connecting, LAST_CONNECT_PAUSE_S))
-        self.pool.manager.own(self._opening)
+        self._connect_task = asyncio.get_running_loop().create_task(self._open(self._connecting, LAST_CONNECT_PAUSE_S))
+        self.pool.manager.track_connect(self._connect_task)
 
     async def _open(self, connection: Connection, pause_s: float = 0.0) -> None:
         try:
@@ -114,74 +116,76 @@
             log.exception("connecting failed")
             self._connect_failed()
         else:
-            self._opening = self._connecting = None
-            self.carry(connection)
+            self._connect_task = self._connecting = None
+            self.send_on(connection)
 
     def _connect_failed(self) -> None:
-        self._opening = None
+        self._connect_task = None
         self.finish(Result.CONNECT_FAILED)
 
     async def _connect(self, connection: Connection) -> None:
-        """Connect. What fails on this machine is tried again for as long as the exchange has time: it is no answer of
-        the upstream's. Where there is no way there, only for as long as connecting may take."""
+        """Connect. Failures on this machine say nothing about the upstream and are retried until the exchange times
+        out; an unreachable network is retried only for the connect timeout."""
         manager, loop = self.pool.manager, asyncio.get_running_loop()
         backoff = Backoff(FIRST_CONNECT_PAUSE_S, LAST_CONNECT_PAUSE_S)
-        begun_s = loop.time()
+        started_s = loop.time()
         while True:
-            tried_s = loop.time()
+            attempt_started_s = loop.time()
             try:
                 async with asyncio.timeout(manager.connect_timeout_s):
                     await loop.create_connection(lambda: connection, *connection.address)
-                self.local_delay_s = tried_s - begun_s if self._never_asked else 0.0
+                self.local_delay_s = attempt_started_s - started_s if self._failed_locally else 0.0
                 return
             except OSError as error:
                 if isinstance(error, TimeoutError) or not may_pass_soon(error):
                     raise
                 manager.counter.call_failed("connection to an upstream", name_of(error))
-                self._never_asked = is_local(error)
-                if not self._never_asked and loop.time() >= begun_s + manager.connect_timeout_s:
+                self._failed_locally = is_local(error)
+                if not self._failed_locally and loop.time() >= started_s + manager.connect_timeout_s:
                     raise
             await asyncio.sleep(backoff.next_s())
 
-    def carry(self, connection: Connection) -> None:
+    def send_on(self, connection: Connection) -> None:
+        """Send the request on this connection."""
         self._connection = connection
         connection.send(self)
 
-    def begin(self, head: Message) -> bool:
-        """A long answer has begun: its time no longer runs. False if nobody takes it so."""
+    def start_stream(self, head: Message) -> bool:
+        """A response to be streamed has begun: cancels the timeout. False if nothing accepts the stream."""
         if self._on_stream_start is not None:
             if self._timer is not None:
                 self._timer.cancel()
-            taken = self._on_stream_start(self, head)
-            if taken is not None and not self.over:
-                self._pass_on = taken
+            sink = self._on_stream_start(self, head)
+            if sink is not None and not self.over:
+                self._body_sink = sink
                 self.pool.manager.streaming += 1
-        return self._pass_on is not None
+        return self._body_sink is not None
 
-    def pass_on(self, data: bytes) -> None:
-        if self._pass_on is not None and not self.over:
-            self._pass_on(data)
+    def forward(self, data: bytes) -> None:
+        """Pass a piece of a streamed body to its sink."""
+        if self._body_sink is not None and not self.over:
+            self._body_sink(data)
 
     def set_paused(self, paused: bool) -> None:
-        """Read no more of the answer for now (True), or go on."""
+        """Pause (True) or resume reading the response."""
         if self._connection is not None:
             self._connection.set_paused(paused)
 
     def finish(self, result: Result, response: Message | None = None) -> None:
-        """End it and say so, once."""
+        """End the exchange and report its result, once."""
         if not self.over:
             self.abandon(response is not None)
-            self._done(result, response)
+            self._on_done(result, response)
 
     def abandon(self, answered: bool = False) -> None:
-        """End it; a connection on which the answer is still to come is closed and never used again."""
-        if not self.over and self._pass_on is not None:
+        """End the exchange without reporting. Unless answered, its connection is closed: a late response may follow."""
+        if not self.over and self._body_sink is not None:
             self.pool.manager.streaming -= 1
         self.over = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._connecting is not None:
             self._connecting.close()
         if self._connection is not None and not answered:
@@ -189,13 +193,13 @@
 
 
 class Connection(asyncio.BufferedProtocol):
-    """A connection to an upstream; it carries one exchange at a time."""
+    """A connection to an upstream, used by one exchange at a time."""
 
     def __init__(self, pool: Pool, address: Address) -> None:
-        self.address = address  # where it goes: its pool may move while a request is out on it
+        self.address = address  # its own, as its pool may move to another address during an exchange
         self._pool = pool
         self._reader = MessageReader(responses=True, max_body=pool.manager.max_body, stream=pool.manager.stream)
-        self._holding_back: asyncio.TimerHandle | None = None  # part of an answer of untold length is here
+        self._buffering_timer: asyncio.TimerHandle | None = None  # runs while has_buffered_body
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
         self._written = False
@@ -205,32 +209,34 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        if self._closed:  # given up while it came up
+        if self._closed:  # abandoned while connecting
             self._transport.abort()
-        self._transport.set_write_buffer_limits(high=0)  # to be told when the last byte is written
+        self._transport.set_write_buffer_limits(high=0)  # calls resume_writing when the last byte is sent
 
     @property
     def usable(self) -> bool:
-        """Still open. A connection that the other side closed leaves its pool a turn later."""
+        """True while open. A connection that the upstream closed leaves its pool one loop iteration later."""
         return self._transport is not None and not self._transport.is_closing()
 
     def send(self, exchange: Exchange) -> None:
+        """Write the exchange's request."""
         self._exchange, self._written = exchange, False
         if self._transport is None or not self.usable:
-            asyncio.get_running_loop().call_soon(self.lose)  # not at once: its sender still sets it up
+            # Deferred, because the caller has not finished setting up the exchange.
+            asyncio.get_running_loop().call_soon(self.handle_loss)
             return
         data = exchange.render()
         self._transport.write(data)
         if not self._transport.is_closing() and self._transport.get_write_buffer_size() >= len(data):
-            self.close()  # the machine took no byte of it: later, it would tell of time that is over
-            exchange.begin_again()
+            self.close()  # nothing reached the kernel; sent later, its remaining-time header would be outdated
+            exchange.retry_connect()
         elif not self._transport.is_closing() and not self._transport.get_write_buffer_size():
-            self._wrote()
+            self._on_all_written()
 
     def resume_writing(self) -> None:
-        self._wrote()
+        self._on_all_written()
 
-    def _wrote(self) -> None:
+    def _on_all_written(self) -> None:
         if not self._written:
             self._written = True
             if self._exchange is not None:
@@ -240,86 +246,87 @@
         return self._pool.manager.buffer()
 
     def buffer_updated(self, count: int) -> None:
-        self._take(self._reader.feed(self._pool.manager.buffer()[:count]))
+        self._handle_responses(self._reader.feed(self._pool.manager.buffer()[:count]))
 
     def eof_received(self) -> None:
-        if not self._reader.ends_with_connection or self._exchange is None:
+        if not self._reader.ends_on_close or self._exchange is None:
             return
-        self._take(self._reader.finish())
+        self._handle_responses(self._reader.finish())
 
     def set_paused(self, paused: bool) -> None:
-        """Read nothing for now (True), or go on."""
+        """Pause (True) or resume reading from the socket."""
         if self._transport is not None:
             if paused:
                 self._transport.pause_reading()
             else:
                 self._transport.resume_reading()
 
-    def _begin_now(self) -> None:
-        """No more of an answer of untold length came at once: what is here goes on."""
-        self._holding_back = None
-        if not self._closed and self._reader.held_back:
-            self._reader.pass_on()
-            self._take([])
+    def _stream_buffered(self) -> None:
+        """The buffering time is over and the response is not complete: start streaming it."""
+        self._buffering_timer = None
+        if not self._closed and self._reader.has_buffered_body:
+            self._reader.stream_buffered()
+            self._handle_responses([])
 
-    def _passed_on(self, exchange: Exchange) -> bool:
-        """Hand on what came of a long answer; False if nobody takes it."""
+    def _forward_stream(self, exchange: Exchange) -> bool:
+        """Pass on what has been read of a streamed response; False if nothing accepts the stream."""
         head, self._reader.head = self._reader.head, None
         pieces, self._reader.pieces = self._reader.pieces, []
-        if head is not None and not exchange.begin(head):
+        if head is not None and not exchange.start_stream(head):
             return False
         if pieces:
-            exchange.pass_on(pieces[0] if len(pieces) == 1 else b"".join(pieces))
+            exchange.forward(pieces[0] if len(pieces) == 1 else b"".join(pieces))
         return True
 
-    def _take(self, responses: list[Message]) -> None:
+    def _handle_responses(self, responses: list[Message]) -> None:
         exchange = self._exchange
         if exchange is None or (self._reader.error_status and not responses):
-            self.lose()  # nobody asked for it, or it can't be read
+            self.handle_loss()  # an unsolicited or malformed response
             return
-        if (self._reader.head is not None or self._reader.pieces) and not self._passed_on(exchange):
-            self.lose()
+        if (self._reader.head is not None or self._reader.pieces) and not self._forward_stream(exchange):
+            self.handle_loss()
             return
         if exchange.over:
-            return  # who took it has ended it
-        if self._reader.held_back and self._holding_back is None:
-            self._holding_back = asyncio.get_running_loop().call_later(HELD_BACK_S, self._begin_now)
+            return  # the receiver ended the exchange
+        if self._reader.has_buffered_body and self._buffering_timer is None:
+            self._buffering_timer = asyncio.get_running_loop().call_later(BUFFERING_S, self._stream_buffered)
         if responses:
-            if self._holding_back is not None:
-                self._holding_back.cancel()
-                self._holding_back = None
+            if self._buffering_timer is not None:
+                self._buffering_timer.cancel()
+                self._buffering_timer = None
             self._exchange = None
-            # What comes behind a whole answer takes nothing from it, but it must not meet the next request.
-            alone = len(responses) == 1 and not (self._reader.begun or self._reader.error_status)
-            if alone and responses[0].keep_alive and self._written:
+            # Data after a complete response does not invalidate it, but must not be taken for the next response.
+            nothing_extra = len(responses) == 1 and not (self._reader.in_message or self._reader.error_status)
+            if nothing_extra and responses[0].keep_alive and self._written:
                 self._pool.keep(self)
             else:
                 self.close()
             exchange.finish(Result.OK, responses[0])
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lose()
+        self.handle_loss()
 
-    def lose(self) -> None:
-        """The connection is of no more use; an exchange on it ends by what had been written."""
+    def handle_loss(self) -> None:
+        """Close the connection and end its exchange; the result depends on whether the request was fully written."""
         exchange = self._exchange
         self.close()
         if exchange is not None:
-            # Up to its last byte nothing can have run; from then on it may have.
+            # An upstream can't run an incomplete request; once the last byte is written it may have run.
             exchange.finish(Result.RESET if self._written else Result.CONNECT_FAILED)
 
     def close(self) -> None:
-        self._exchange = None  # a late answer finds nobody
+        """Abort the connection and remove it from its pool."""
+        self._exchange = None  # a late response is dropped
         self._pool.drop(self)
         if not self._closed:
             self._closed = True
             self._pool.manager.open_connections -= 1
-        if self._holding_back is not None:
-            self._holding_back.cancel()
-            self._holding_back = None
+        if self._buffering_timer is not None:
+            self._buffering_timer.cancel()
+            self._buffering_timer = None
         if self._transport is not None:
-            # The transport closes its socket only in the loop's next turn, when the request may have gone out
-            # again: two copies on open connections. What is written here ends at once.
+            # abort() closes the socket only in the next loop iteration, when a retry may already have been sent: the
+            # request would be on two open connections. write_eof() ends this side's sending at once.
             with contextlib.suppress(OSError):
                 self._transport.write_eof()
             self._transport.abort()
@@ -327,19 +334,21 @@
 
 @dataclass(slots=True, eq=False)
 class Pool:
-    """The connections to one address; those between uses, the last used one last."""
+    """The connections to one upstream; `idle` holds the unused ones, most recently used last."""
 
     manager: PoolManager
     address: Address
-    ready: bool = True  # it may be sent something new
+    ready: bool = True  # new requests may be sent to it
     idle: list[Connection] = field(default_factory=list)
 
-    def exchange(self, data: bytes, timeout_s: float | None, done: OnDone) -> Exchange:
-        exchange = Exchange(self, data, done)
+    def exchange(self, data: bytes, timeout_s: float | None, on_done: OnDone) -> Exchange:
+        """Start an exchange that times out after `timeout_s`."""
+        exchange = Exchange(self, data, on_done)
         exchange.start(None if timeout_s is None else asyncio.get_running_loop().time() + timeout_s)
         return exchange
 
     def reuse(self) -> Connection | None:
+        """Take the most recently used idle connection that is still open."""
         self.manager.close_expired()
         while self.idle:
             connection = self.idle[-1]
@@ -349,39 +358,43 @@
         return None
 
     def keep(self, connection: Connection) -> None:
-        if not self.ready or connection.address != self.address:  # there may be another upstream by now
+        """Make a connection available for reuse, or close it if its pool has moved or is not ready."""
+        if not self.ready or connection.address != self.address:  # its address may belong to another upstream by now
             connection.close()
             return
         connection.idle_since = self.manager.time()
         self.idle.append(connection)
         self.manager.idle[connection] = None
-        if len(self.idle) > KEPT_IDLE:
+        if len(self.idle) > MAX_IDLE_CONNECTIONS:
             self.idle[0].close()
 
     def drop(self, connection: Connection) -> None:
+        """Remove a connection from the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
             del self.manager.idle[connection]
 
     def close_idle(self) -> None:
+        """Close all idle connections."""
         while self.idle:
             self.idle[-1].close()
 
     def move(self, address: Address) -> None:
+        """Change the upstream's address; idle connections to the previous one are closed."""
         if address != self.address:
             self.address = address
             self.close_idle()
 
 
-class Uncounted:
-    """A `FailureCounter` that counts nothing."""
+class NullFailureCounter:
+    """A `FailureCounter` that does nothing."""
 
     def call_failed(self, call: str, error: str) -> None:
-        """Nothing is noted."""
+        """Ignore the failure."""
 
 
 class PoolManager:
-    """What all pools share: the limits, and the count of connections."""
+    """The pools by upstream, with what they share: limits, the connection count and the read buffer."""
 
     def __init__(
         self,
@@ -392,41 +405,41 @@
         stream: bool = False,
         counter: FailureCounter | None = None,
     ) -> None:
-        """`stream`: long answers are passed on as they come, where their exchange takes them so. `counter` counts the
-        connections that this machine could not begin."""
-        self.counter = counter or Uncounted()
+        """`stream`: long responses are streamed if their exchange accepts that. `counter` counts the connects that
+        failed on this machine."""
+        self.counter = counter or NullFailureCounter()
         self.time = asyncio.get_running_loop().time
         self.capacity = capacity
         self.connect_timeout_s = connect_timeout_s
-        self.idle_s = conn_idle_s * IDLE_PART or IDLE_DEFAULT_S
+        self.idle_s = conn_idle_s * IDLE_SHARE or DEFAULT_IDLE_S
         self.max_body = max_body
         self.stream = stream
-        self.streaming = 0  # answers that are passed on now
-        self._buffer = memoryview(bytearray(MAX_PIECE))  # for all connections: what is read is taken at once
-        self.open_connections = 0  # connections, also those that are only coming up
+        self.streaming = 0  # number of responses being streamed
+        self._buffer = memoryview(bytearray(MAX_PIECE))  # shared by all connections: each read is processed at once
+        self.open_connections = 0  # including those still connecting
         self.pools: dict[int, Pool] = {}
-        self.idle: dict[Connection, None] = {}  # of all pools, the longest so first
-        self._opening: set[asyncio.Task[None]] = set()
+        self.idle: dict[Connection, None] = {}  # of all pools, longest idle first
+        self._connect_tasks: set[asyncio.Task[None]] = set()
 
     def buffer(self) -> memoryview:
-        """Where to read into. The more answers pass at once, the less of each is taken at a time."""
+        """The buffer to read into; smaller the more responses are streamed, to bound the memory for all of them."""
         if self.streaming * MAX_PIECE <= STREAMING_BYTES:
             return self._buffer
         return self._buffer[: max(MIN_PIECE, STREAMING_BYTES // self.streaming)]
 
-    def own(self, opening: asyncio.Task[None]) -> None:
-        """Hold a connection's coming up until it is over."""
-        self._opening.add(opening)
-        opening.add_done_callback(self._opening.discard)
+    def track_connect(self, task: asyncio.Task[None]) -> None:
+        """Keep a reference to a connect task until it is done."""
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
 
     async def wait_for_cancelled(self) -> None:
-        """Wait for the end of what was coming up and has been called off."""
-        if self._opening:
-            await asyncio.wait(self._opening)
+        """Wait until cancelled connect tasks have ended."""
+        if self._connect_tasks:
+            await asyncio.wait(self._connect_tasks)
 
-    def make_place(self, spare: int = 0) -> bool:
-        """Is there room for one more connection? An idle one is given up for it."""
-        if self.open_connections < self.capacity - spare:
+    def make_room(self, reserved: int = 0) -> bool:
+        """True if one more connection may be opened; closes the longest idle one if that is needed."""
+        if self.open_connections < self.capacity - reserved:
             return True
         oldest = next(iter(self.idle), None)
         if oldest is not None:
@@ -434,7 +447,7 @@
         return oldest is not None
 
     def close_expired(self) -> None:
-        """Close what has been idle for so long that its upstream may be closing it too."""
-        latest = self.time() - self.idle_s
-        while self.idle and next(iter(self.idle)).idle_since < latest:
+        """Close connections that have been idle for so long that their upstream may be about to close them."""
+        oldest_allowed_s = self.time() - self.idle_s
+        while self.idle and next(iter(self.idle)).idle_since < oldest_allowed_s:
             next(iter(self.idle)).close()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The side of the clients over loopback sockets: bad input, limits, order."""
+"""The server for clients over loopback sockets: invalid input, limits, timeouts and eviction."""
 
 from __future__ import annotations
 
@@ -135,18 +135,18 @@
         async with node(Script()) as client:
             await client.ask(READY)
             assert client.writer is not None
-            mine = cast(asyncio.Transport, client.writer.transport)
-            mine.pause_reading()
-            mine.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            peer = cast(asyncio.Transport, client.writer.transport)
+            peer.pause_reading()
+            peer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             transport = next(iter(client.node.server._connections))._transport
             assert transport is not None
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             transport.set_write_buffer_limits(high=4096)
-            side = next(iter(client.node.server._connections))
+            connection = next(iter(client.node.server._connections))
             while transport.is_reading():
-                side.data_received(READY)
+                connection.data_received(READY)
             assert transport.get_write_buffer_size() < 8192
-            mine.resume_reading()
+            peer.resume_reading()
             await until(transport.is_reading)
 
     run(test())
@@ -156,8 +156,8 @@
     return next(iter(table._members))
 
 
-def ages(table: ConnectionTable, seconds: float) -> None:
-    """As if all that is in the table had been there for so much longer."""
+def age(table: ConnectionTable, seconds: float) -> None:
+    """Make all connections of the table appear to have been there that much longer."""
     for member in table._members:
         member.since -= seconds
 
@@ -175,11 +175,11 @@
                 await client.ask(READY)
             await client.send(data)
             if served and not data:
-                return  # that one is idle, and may be for long
+                return  # the request timeout does not apply to an idle connection
             await until(lambda: server._awaiting_request and (not data or first(server._awaiting_request).receiving))
             server._tick()
             assert server._awaiting_request
-            ages(server._awaiting_request, 2.3)
+            age(server._awaiting_request, 2.3)
             server._tick()
             assert client.reader is not None
             got = await asyncio.wait_for(client.reader.read(), PATIENCE_S)
@@ -191,19 +191,19 @@
 
 
 def test_a_loop_that_is_always_late_closes_slow_clients_all_the_same() -> None:
-    """A look at the clients' times is put off after a standstill, but not one after the other for ever."""
+    """After a stall the timeout check is postponed, but never twice in a row."""
 
     async def test() -> None:
         async with node(Script()) as client:
             server = client.node.server
             await client.send(b"GET /re")
             await until(lambda: server._awaiting_request and first(server._awaiting_request).receiving)
-            ages(server._awaiting_request, 2.3)
-            server._tick_due -= 1.0  # the loop comes to it so late
+            age(server._awaiting_request, 2.3)
+            server._tick_due -= 1.0  # as if the loop ran the check that late
             server._tick()
-            assert server._awaiting_request  # its bytes may lie unread
+            assert server._awaiting_request  # postponed: its bytes may be unread
             server._tick_due -= 1.0
-            assert server._dispensable() is None  # nor does it make place for others
+            assert server._eviction_candidate() is None  # nor is it evicted
             server._tick()
             assert not server._awaiting_request
 
@@ -215,10 +215,10 @@
         async with node(Script()) as client:
             server = client.node.server
             assert (await client.ask(READY)).status == 200
-            ages(server._idle, 1.8)
+            age(server._idle, 1.8)
             server._tick()
-            assert (await client.ask(READY)).status == 200  # which begins its time anew
-            ages(server._idle, 2.0)
+            assert (await client.ask(READY)).status == 200  # restarts the idle timeout
+            age(server._idle, 2.0)
             server._tick()
             assert await client.closed()
             await until(lambda: not server._connections)
@@ -232,7 +232,7 @@
             server = client.node.server
             await client.send(b"")
             await until(lambda: server._awaiting_request)
-            ages(server._awaiting_request, 2.0)
+            age(server._awaiting_request, 2.0)
             since = first(server._awaiting_request).since
             await client.send(b"GET")
             await until(lambda: first(server._awaiting_request).receiving)
@@ -247,7 +247,7 @@
             server = client.node.server
             assert (await client.ask(b"nonsense\r\n\r\n")).status == 400
             assert server._lingering and server._connections
-            ages(server._lingering, 0.6)
+            age(server._lingering, 0.6)
             server._tick()
             assert not server._lingering and not server._connections
 
@@ -258,10 +258,10 @@
     async def test() -> None:
         async with node(Script()) as client:
             await client.send(request("/pay", "Content-Length: 60000000", method="POST"))
-            assert (await client.read()).status == 413  # before the body comes
-            side = next(iter(client.node.server._connections))
-            assert side._transport is not None
-            transport = side._transport
+            assert (await client.read()).status == 413  # before the body arrives
+            connection = next(iter(client.node.server._connections))
+            assert connection._transport is not None
+            transport = connection._transport
             await client.send(b"x" * 300_000)
             await until(lambda: not transport.is_reading())
 
@@ -270,18 +270,18 @@
 
 def test_silent_clients_make_place_before_those_that_have_spoken() -> None:
     async def test() -> None:
-        async with node(Script(), sockets=32 + 16) as client:  # so eight clients
+        async with node(Script(), sockets=32 + 16) as client:  # leaves places for eight clients
             server = client.node.server
             assert (await client.ask(READY)).status == 200
-            mute = [client.another() for _ in range(7)]
-            for other in mute:
+            silent = [client.another() for _ in range(7)]
+            for other in silent:
                 await other.send(b"")
             await until(lambda: len(server._awaiting_request) == 7)
-            ages(server._awaiting_request, 1.0)
+            age(server._awaiting_request, 1.0)
             assert (await client.another().ask(READY)).status == 200
-            assert await mute[0].closed()
-            assert (await client.ask(READY)).status == 200  # idle for longer, and still there
-            for other in mute:
+            assert await silent[0].closed()
+            assert (await client.ask(READY)).status == 200  # idle for longer, but not evicted
+            for other in silent:
                 other.close()
 
     run(test())
@@ -291,13 +291,13 @@
     async def test() -> None:
         async with node(Script()) as client:
             server = client.node.server
-            with socket.create_connection((HOST, client.port)) as mine:
-                mine.setblocking(False)
+            with socket.create_connection((HOST, client.port)) as peer:
+                peer.setblocking(False)
                 while not server._awaiting_request:
                     server._accept()
-                ages(server._awaiting_request, 1.0)
-                assert server._evict()  # its transport is not made yet
-                ended = asyncio.get_running_loop().sock_recv(mine, 1)
+                age(server._awaiting_request, 1.0)
+                assert server._evict()  # before its transport is made
+                ended = asyncio.get_running_loop().sock_recv(peer, 1)
                 assert await asyncio.wait_for(ended, PATIENCE_S) == b""
 
     run(test())
@@ -311,7 +311,7 @@
             await until(lambda: client.node._calls)
             assert (await client.another().ask(request(name="one"))).status == 409
             client.node.feed(api.Wake("now"))
-            assert (await client.read()).status == 504  # the open one goes on as if nothing had come
+            assert (await client.read()).status == 504  # the duplicate has not affected the open request
             await client.send(request(name="one"))
             await until(lambda: len(script.of(api.Arrival)) == 2)
 
@@ -335,20 +335,20 @@
 def test_idle_connections_make_place_and_busy_ones_stay() -> None:
     async def test() -> None:
         script = Script()
-        async with node(script, sockets=32 + 16) as client:  # so eight clients
+        async with node(script, sockets=32 + 16) as client:  # leaves places for eight clients
             idle = client.another()
             assert (await idle.ask(READY)).status == 200
             busy = [client.another() for _ in range(7)]
             for other in busy:
                 await other.send(request())
             await until(lambda: len(script.of(api.Arrival)) == 7)
-            got = await client.another().ask(READY)  # with most places taken, its answer ends its connection
+            got = await client.another().ask(READY)  # near capacity, connections are closed after their response
             assert got.status == 200 and got.headers["connection"] == "close"
             assert await idle.closed()
             await client.send(request())
             await until(lambda: len(script.of(api.Arrival)) == 8)
             last = client.another()
-            await last.send(READY)  # waits with the system until one has its answer
+            await last.send(READY)  # stays in the kernel's backlog until another is answered
             script.react = lambda e: [api.Fail("3")] if isinstance(e, api.Wake) else ()
             client.node.feed(api.Wake("now"))
             assert (await last.read()).status == 200
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Answers that pass on as they come: framing, back-pressure, ends in the middle, and the reader against a plain one."""
+"""Streamed responses: framing, back-pressure, truncation, and the parser compared with a simple reference parser."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as unhurried
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from lanemux import interface as api
@@ -25,7 +25,7 @@
 
 
 async def body_of(client: Client) -> tuple[bytes, bytes, bool]:
-    """Head and body of an answer, undone by hand; False where the end is missing."""
+    """Read a response's head and body without the code under test; False if its end is missing."""
     reader = client.reader
     assert reader is not None
     head = await reader.readuntil(b"\r\n\r\n")
@@ -53,7 +53,7 @@
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + data + (b"0\r\nX-T: 1\r\n\r\n" if end else b"")
 
 
-def sends(data: bytes, close: bool = False) -> Answer:
+def sends_raw(data: bytes, close: bool = False) -> Answer:
     async def answer(got: Got, writer: Writer) -> None:
         for i in range(0, len(data), 9001):
             writer.write(data[i : i + 9001])
@@ -66,10 +66,10 @@
 
 WHOLE = [
     ("length", answers(200, LONG)),
-    ("chunks", sends(chunked(LONG))),
-    ("extensions", sends(chunked(LONG, 90, True, ";a=b"))),
-    ("until the end", sends(b"HTTP/1.1 200 OK\r\n\r\n" + LONG, close=True)),
-    ("1xx ahead", sends(b"HTTP/1.1 103 E\r\n\r\n" * 3 + chunked(LONG))),
+    ("chunks", sends_raw(chunked(LONG))),
+    ("extensions", sends_raw(chunked(LONG, 90, True, ";a=b"))),
+    ("until the end", sends_raw(b"HTTP/1.1 200 OK\r\n\r\n" + LONG, close=True)),
+    ("1xx ahead", sends_raw(b"HTTP/1.1 103 E\r\n\r\n" * 3 + chunked(LONG))),
 ]
 
 
@@ -95,9 +95,9 @@
 @pytest.mark.parametrize(
     ("form", "answer"),
     [
-        ("length", sends(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + LONG, close=True)),
-        ("chunks", sends(chunked(LONG, end=False), close=True)),
-        ("noise", sends(chunked(LONG, end=False) + b"zzzz\r\n")),
+        ("length", sends_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + LONG, close=True)),
+        ("chunks", sends_raw(chunked(LONG, end=False), close=True)),
+        ("noise", sends_raw(chunked(LONG, end=False) + b"zzzz\r\n")),
     ],
 )
 def test_what_ends_in_the_middle_is_not_whole_for_the_client_and_not_tried_again(form: str, answer: Answer) -> None:
@@ -145,7 +145,7 @@
 
 def test_an_old_client_gets_no_chunks() -> None:
     async def test() -> None:
-        upstream = await Upstream(sends(chunked(LONG))).start()
+        upstream = await Upstream(sends_raw(chunked(LONG))).start()
         script = Script()
         sends_first(script)
         async with node(script, upstream) as client:
@@ -174,9 +174,9 @@
         async with node(script, upstream) as client:
             await client.send(b"")
             assert client.writer is not None
-            mine = cast(asyncio.Transport, client.writer.transport)
-            mine.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            mine.pause_reading()
+            peer = cast(asyncio.Transport, client.writer.transport)
+            peer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            peer.pause_reading()
             await client.send(request())
             await until(lambda: client.node._passing)
             call = next(iter(client.node._passing.values()))
@@ -184,7 +184,7 @@
             assert transport is not None
             await until(lambda: transport.get_write_buffer_size() > 0)
             before = -1
-            while before != written:  # until the pipe is full
+            while before != written:  # until all buffers on the way are full
                 before = written
                 await asyncio.sleep(0.05)
                 assert transport.get_write_buffer_size() <= 2 * MAX_PIECE
@@ -198,7 +198,7 @@
 
 def test_a_client_that_leaves_ends_the_upstream_side() -> None:
     async def test() -> None:
-        upstream = await Upstream(sends(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nx")).start()
+        upstream = await Upstream(sends_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nx")).start()
         script = Script()
         sends_first(script)
         async with node(script, upstream) as client:
@@ -213,7 +213,7 @@
 
 def test_a_second_request_in_the_middle_of_an_answer_gets_nothing_of_it() -> None:
     async def test() -> None:
-        upstream = await Upstream(sends(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nx")).start()
+        upstream = await Upstream(sends_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nx")).start()
         script = Script()
         sends_first(script)
         async with node(script, upstream) as client:
@@ -250,20 +250,20 @@
         return [a for a in actions if isinstance(a, api.Send)]
 
     assert arrives("a")
-    assert not arrives("b")  # one at a time is all that is known to help
+    assert not arrives("b")  # no higher concurrency limit has proved useful yet
     sent = module.handle(now + 1000, [api.AnswerBegun("a", 0, 7, 1000)])
     assert [a.request for a in sent if isinstance(a, api.Send)] == ["b"]
     server = module.fleet.servers[7]
     assert server.inflight == 1
-    later = now + 20 * second  # its reader is slow: that says nothing of the upstream
+    later = now + 20 * second  # a slow client must not count against the upstream
     pace, good = server.pace, module.rate.good
     module.handle(later, [api.Outcome("a", 0, 7, Result.RESET, 20 * second, True)])
     assert (server.inflight, server.pace, server.strikes) == (1, pace, 0)
     assert module.rate.good <= good and "a" not in module.requests
 
 
-def plain(data: bytes) -> list[bytes]:
-    """The bodies in whole messages with a length or chunks, read all at once and by hand."""
+def reference_bodies(data: bytes) -> list[bytes]:
+    """Reference parser: the bodies of complete messages with a length or in chunks."""
     bodies = []
     while data:
         head, _, data = data.partition(b"\r\n\r\n")
@@ -291,7 +291,7 @@
     return chunked(body, (3, 500, 70_000)[how - 1], extension=";x=y" * (how == 2)).replace(b"X-T: 1\r\n", b"")
 
 
-def collected(data: Iterable[bytes]) -> list[bytes]:
+def parsed_bodies(data: Iterable[bytes]) -> list[bytes]:
     reader, bodies, passing = MessageReader(responses=True, max_body=1 << 20, stream=True), [], b""
     for part in data:
         ready = reader.feed(part)
@@ -306,7 +306,7 @@
     return bodies
 
 
-@unhurried(deadline=None, derandomize=True, database=None)
+@hypothesis_settings(deadline=None, derandomize=True, database=None)
 @given(
     st.lists(
         st.tuples(
@@ -326,10 +326,10 @@
         step = max(cuts[len(parts) % len(cuts)], len(data) // 300 if at > 300 else 1)
         parts.append(data[at : at + step])
         at += step
-    assert collected(parts) == plain(data)
+    assert parsed_bodies(parts) == reference_bodies(data)
 
 
-@unhurried(derandomize=True, database=None)
+@hypothesis_settings(derandomize=True, database=None)
 @given(st.integers(1, 60))
 def test_white_space_round_a_value_goes_wherever_it_is_cut(cut: int) -> None:
     data = b"GET /read HTTP/1.1\r\nReq-Deadline-Ms: \t161 \t\r\nReq-Id: x  \r\n\r\n"
