--- a/bench/outages.py
+++ b/bench/outages.py
@@ -24,8 +24,8 @@
 from lanemux.rehearsal.command import find
 from lanemux.rehearsal.scenario import USUAL_CLASSES, USUAL_PARTNERS, Callers, Discovery, Fault, Fleet, Load, Scenario
 from lanemux.rehearsal.service import over_time
-from lanemux.storm.module import Plan, Storm
-from lanemux.storm.restarts import Restarts
+from lanemux.storm.module import StormModule, StormOptions
+from lanemux.storm.restarts import RestartDetector
 from lanemux.virtual.network import Weather
 from lanemux.virtual.script import Script, Setting
 from lanemux.virtual.stage import play
@@ -34,27 +34,27 @@
 OFF, ON = "off", "on"
 
 
-class _NoSpread(Storm):
-    def _refused(self, action: api.Refuse, now: int) -> api.Refuse:
-        self._lost(action.request)
+class _NoSpread(StormModule):
+    def _with_retry_after(self, action: api.Refuse, now: int) -> api.Refuse:
+        self._count_unserved(action.request)
         return action
 
 
-class _Untold(Restarts):
-    def met(self, upstream: int, result: api.Result, now: int) -> api.Upstream | None:
+class _Untold(RestartDetector):
+    def observe(self, upstream: int, result: api.Result, now: int) -> api.Upstream | None:
         """Nothing is found out: the list alone tells of starts."""
         return None
 
 
-class _NoRestarts(Storm):
-    def __init__(self, inner: Balancer, settings: api.Settings, plan: Plan, seed: int, now: int) -> None:
-        super().__init__(inner, settings, plan, seed, now)
-        self._restarts = _Untold()
+class _NoRestarts(StormModule):
+    def __init__(self, inner: Balancer, settings: api.Settings, options: StormOptions, seed: int, now: int) -> None:
+        super().__init__(inner, settings, options, seed, now)
+        self._restart_detector = _Untold()
 
 
-BUILDS: dict[str, type[Storm] | None] = {
+BUILDS: dict[str, type[StormModule] | None] = {
     OFF: None,
-    ON: Storm,
+    ON: StormModule,
     "no spread of returns": _NoSpread,
     "no finding out": _NoRestarts,
 }
@@ -141,8 +141,8 @@
     name, build, seed = job
     kind = BUILDS[build]
 
-    def around(decides: Balancer, told: api.Settings, seed: int, now: int) -> Storm | Balancer:
-        return decides if kind is None else kind(decides, told, Plan(), seed, now)
+    def around(decides: Balancer, told: api.Settings, seed: int, now: int) -> StormModule | Balancer:
+        return decides if kind is None else kind(decides, told, StormOptions(), seed, now)
 
     result = play(Script(seed), made=setting(name), around=around)
     broken: dict[str, int] = {}
--- a/bench/programs/etcd_node.py
+++ b/bench/programs/etcd_node.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from lanemux.cli import _source
+from lanemux.cli import _list_source
 from lanemux.net import daemon
 from lanemux.net.node import Node
 from lanemux.net.reload import Lists
@@ -65,6 +65,6 @@
 gc.callbacks.append(collected)
 UpstreamSet.listed = timed  # type: ignore[method-assign]
 Node.start = watched  # type: ignore[method-assign]
-status = daemon.main(Lists(lambda: _source(load(os.environ["LANEMUX_OPERATORS"]))))
+status = daemon.main(Lists(lambda: _list_source(load(os.environ["LANEMUX_OPERATORS"]))))
 Path(sys.argv[1]).write_text(json.dumps({"late": late, "stood": stood, "took": took, "passes": passes}))
 sys.exit(status)
--- a/bench/storms.py
+++ b/bench/storms.py
@@ -24,7 +24,7 @@
 from bench.rehearsals import Job, played, spread
 from lanemux import interface as api
 from lanemux.policy import Balancer
-from lanemux.storm.module import Plan, Storm
+from lanemux.storm.module import StormModule, StormOptions
 
 MS, SECOND = 1_000_000, 1_000_000_000
 ON = "[storm]\n"
@@ -120,7 +120,9 @@
     def __init__(self, storm: bool) -> None:
         self.now, self.count = SECOND, 0
         inner = Balancer(_settings(), 1, self.now)
-        self.module: Balancer | Storm = Storm(inner, _settings(), Plan(), 1, self.now) if storm else inner
+        self.module: Balancer | StormModule = (
+            StormModule(inner, _settings(), StormOptions(), 1, self.now) if storm else inner
+        )
         self.module.handle(self.now, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(n) for n in range(10)])])
 
     def run(self, count: int) -> float:
@@ -195,7 +197,7 @@
             ]
 
     inner, now = Refuses(), SECOND
-    module = Storm(inner, _settings(), Plan(), 1, now) if storm else inner
+    module = StormModule(inner, _settings(), StormOptions(), 1, now) if storm else inner
     for number in range(500):
         now += 10 * MS
         module.handle(now, [api.Arrival(str(number), "fee", "a", now + SECOND)])
--- a/lanemux/admin/extension.py
+++ b/lanemux/admin/extension.py
@@ -7,8 +7,8 @@
 from lanemux.admin.server import AdminServer
 from lanemux.core.system import System
 from lanemux.net.node import Node
+from lanemux.takeover.cordon_sync import Shared
 from lanemux.takeover.pace import end
-from lanemux.takeover.shared import Shared
 
 log = logging.getLogger(__name__)
 
--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -24,7 +24,7 @@
     from lanemux.core.system import System
     from lanemux.net.daemon import Extension, MakeModule
     from lanemux.net.node import MakeConnectionAdmission, Node
-    from lanemux.operators import Operators
+    from lanemux.operators import OperatorsFile
 
 USAGE_STATUS = 2
 OPERATORS_VARIABLE = "LANEMUX_OPERATORS"
@@ -82,7 +82,7 @@
     return make(node, system, os.environ.get("TMPDIR"))
 
 
-def _source(operators: Operators) -> MakeSource | None:
+def _list_source(operators: OperatorsFile) -> MakeSource | None:
     """Where the list comes from, as the operators' file says; None: platform discovery."""
     told = operators.etcd
     if told is None:
@@ -94,7 +94,7 @@
     return Make(Target(tuple(map(read_address, told.endpoints)), told.prefix, told.user, told.password_file))
 
 
-def _storm(operators: Operators) -> tuple[MakeModule, MakeConnectionAdmission | None]:
+def _storm(operators: OperatorsFile) -> tuple[MakeModule, MakeConnectionAdmission | None]:
     """What decides, and who lets connections in, with [storm] or without."""
     from lanemux.policy import Balancer
 
@@ -105,7 +105,7 @@
     return make(operators.storm)
 
 
-def _fleet(operators: Operators) -> Callable[[Node], None]:
+def _fleet(operators: OperatorsFile) -> Callable[[Node], None]:
     """What adds plugins to the node, with [fleet] or without."""
     if operators.fleet is None:
         return lambda node: None
@@ -132,7 +132,7 @@
         for name in ("storm", "fleet", "log"):
             if getattr(told, name) != getattr(first, name):
                 logging.getLogger(__name__).warning("reload: another [%s] needs a restart", name)
-        return _source(told)
+        return _list_source(told)
 
     try:
         first = _load_when_readable(options.operators)
@@ -146,7 +146,7 @@
     return main(lists, *_storm(first), _extend, first.log.level, _fleet(first))
 
 
-def _load_when_readable(path: str | None) -> Operators:
+def _load_when_readable(path: str | None) -> OperatorsFile:
     """The operators' file, once it can be read. ValidationError for one that can't be used."""
     from lanemux.core.failures import MomentaryError
     from lanemux.core.system import Machine
@@ -154,7 +154,7 @@
     from lanemux.operators import load
     from lanemux.validation import ValidationError
 
-    def attempt() -> Operators:
+    def attempt() -> OperatorsFile:
         try:
             return load(path)
         except ValidationError as error:
@@ -165,7 +165,7 @@
     return wait_for("operators' file", attempt, Machine())
 
 
-def _misfits(operators: Operators, file: str | None, path: str | None) -> list[str]:
+def _misfits(operators: OperatorsFile, file: str | None, path: str | None) -> list[str]:
     """What of the operators' file does not fit the configuration, a line each."""
     if operators.fleet is None or not path:
         return []
--- a/lanemux/fleet/setup.py
+++ b/lanemux/fleet/setup.py
@@ -9,14 +9,14 @@
 from lanemux.fleet.view import View
 from lanemux.net.config import Config
 from lanemux.net.node import Node
-from lanemux.operators import Fleet
+from lanemux.operators import FleetSection
 
 MS = 1_000_000
 
 log = logging.getLogger(__name__)
 
 
-def faults(told: Fleet, config: Config) -> list[str]:
+def faults(told: FleetSection, config: Config) -> list[str]:
     """What of the section does not fit the configuration: key and reason."""
     strange = [number for number in told.council if number >= len(config.peers)]
     return (
@@ -29,7 +29,7 @@
     )
 
 
-def add_membership(node: Node, told: Fleet) -> None:
+def add_membership(node: Node, told: FleetSection) -> None:
     """Before the node starts. Without peers there is nobody to look at: that is logged, and nothing is plugged in."""
     config = node.config
     if config.peer_listen is None or len(config.peers) < 2:
--- a/lanemux/operators.py
+++ b/lanemux/operators.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rehearsal:
+class RehearsalSection:
     """[rehearsal]: the kit at the operators' desks; the daemon itself does not read it."""
 
     scenarios_directory: str = ""  # `rehearse NAME` looks for NAME.toml here first; "": nowhere
 
 
 @dataclass(frozen=True, slots=True)
-class Etcd:
+class EtcdSection:
     """[etcd]: the list comes from etcd and not from platform discovery. Needs the extra `etcd`."""
 
     endpoints: tuple[str, ...]  # IP:PORT of each member; names are not looked up
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Storm:
+class StormSection:
     """[storm]: retry storms are noticed and softened. The section's presence switches it on."""
 
     longest_wait_ms: int = bounded(0, 600_000, 0)  # that Retry-After tells; 0: the platform's limit
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetSection:
     """[fleet]: balancers tell one another who is there, in the peers' datagrams. Its presence switches it on."""
 
     council: tuple[int, ...] = ()  # numbers in `peers` of those who settle who leads; (): nobody leads
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogSection:
     """[log]: what the log holds. At "debug" also, once a second, why the decisions do what they do."""
 
     level: str = "info"
@@ -92,23 +92,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operators:
+class OperatorsFile:
     """The whole file; an absent section is off."""
 
-    etcd: Etcd | None = None
-    storm: Storm | None = None
-    fleet: Fleet | None = None
-    rehearsal: Rehearsal = field(default_factory=Rehearsal)
-    log: Log = field(default_factory=Log)
+    etcd: EtcdSection | None = None
+    storm: StormSection | None = None
+    fleet: FleetSection | None = None
+    rehearsal: RehearsalSection = field(default_factory=RehearsalSection)
+    log: LogSection = field(default_factory=LogSection)
 
 
-def load(path: str | None) -> Operators:
+def load(path: str | None) -> OperatorsFile:
     """The file, read and checked whole; with no path, everything off.
 
     Raises ValidationError with one line for each fault: file, key and what is allowed."""
     if not path:
-        return Operators()
-    made = build(Operators, parse(read_text(Path(path)), path), path)
+        return OperatorsFile()
+    made = build(OperatorsFile, parse(read_text(Path(path)), path), path)
     found = [f"{path}: log.{fault}" for fault in made.log.faults()]
     if made.fleet is not None:
         found += [f"{path}: fleet.{fault}" for fault in made.fleet.faults()]
--- a/lanemux/rehearsal/scenario.py
+++ b/lanemux/rehearsal/scenario.py
@@ -8,7 +8,7 @@
 import dataclasses
 from dataclasses import dataclass, field
 
-from lanemux.validation import ValidationError, bounded, build, chosen, parse
+from lanemux.validation import ValidationError, bounded, build, one_of, parse
 
 Range = tuple[float, float]
 
@@ -31,8 +31,8 @@
     aim_ms: float = bounded(1, 60_000, 264.0)  # an answer later than this is worth nothing
     deadline_ms: float = bounded(1, 60_000, 661.0)  # the ask is given up after this, over all its tries
     worth: float = bounded(0, 1000, 1.0)  # for each unit of work
-    effect: str = chosen(("safe", "keyed", "unsafe"), "safe")  # safe: GET; keyed: POST with a key; unsafe: POST
-    scope: str = chosen(("all", "zone", "cell"), "all")  # keyed: the boxes that drop each other's repeats
+    effect: str = one_of(("safe", "keyed", "unsafe"), "safe")  # safe: GET; keyed: POST with a key; unsafe: POST
+    scope: str = one_of(("all", "zone", "cell"), "all")  # keyed: the boxes that drop each other's repeats
     window_ms: float = bounded(1, 600_000, 5000.0)  # keyed: and for how long, from the first that may have run
 
 
@@ -82,7 +82,7 @@
     """[load]: asks arrive by a plan and never wait for answers."""
 
     rate: float = bounded(0.1, 5000, 64.0)  # asks a second
-    shape: str = chosen(("steady", "ramp", "rush"), "steady")  # ramp: rises over the run; rush: a hump in the middle
+    shape: str = one_of(("steady", "ramp", "rush"), "steady")  # ramp: rises over the run; rush: a hump in the middle
     swing: float = bounded(0, 0.9, 0.2)  # of the shape, around the rate
     room_skew: float = bounded(0, 0.9, 0.2)  # share of traffic moved to the first room
     hint_noise: float = bounded(0, 2, 0.4)  # of the cost hints
@@ -108,7 +108,7 @@
 class Discovery:
     """[discovery]: the list, seconds late."""
 
-    source: str = chosen(("agent", "etcd"), "agent")  # agent: the platform's; etcd: a stand-in, a member a balancer
+    source: str = one_of(("agent", "etcd"), "agent")  # agent: the platform's; etcd: a stand-in, a member a balancer
     upset_every_s: Range = bounded(0, 600, (0.0, 0.0))  # etcd: a watch is dropped, reset, stalled or compacted; 0: none
     notice_s: Range = bounded(0, 60, (0.66, 4.9))  # of a drain or a death
     silent_notice_s: Range = bounded(0, 120, (5.4, 14.0))  # of a machine that vanished
@@ -128,7 +128,7 @@
 class Fault:
     """[[fault]]: one trouble; which keys count depends on its kind."""
 
-    kind: str = chosen(FAULTS)
+    kind: str = one_of(FAULTS)
     at_s: float = bounded(0, 3600, 0.0)
     for_s: float = bounded(0.01, 3600, 10.0)
     part: Range = bounded(0, 1, (0.25, 0.25))  # of the boxes (kill, restart: of the balancers)
--- a/lanemux/storm/module.py
+++ b/lanemux/storm/module.py
@@ -13,9 +13,9 @@
 from typing import Protocol
 
 from lanemux import interface as api
-from lanemux.storm.restarts import Restarts
-from lanemux.storm.returns import Returns
-from lanemux.storm.sense import FADE_NS, LOOK_NS, Gauge, Phase
+from lanemux.storm.detector import FADE_NS, LOOK_NS, Gauge, Phase
+from lanemux.storm.restarts import RestartDetector
+from lanemux.storm.retry_schedule import Returns
 
 SECOND = 1_000_000_000
 OK = api.Result.OK
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class StormOptions:
     """What the operators set (docs/operating/storm.md)."""
 
     longest_wait_ns: int = 0  # that a client is told; 0: as the platform's settings allow
@@ -42,17 +42,17 @@
         """Why it does what it does, in figures."""
 
 
-class Storm:
+class StormModule:
     """One balancer's storm module. Its tables hold what is open or listed, and no more."""
 
-    def __init__(self, inner: Inner, settings: api.Settings, plan: Plan, seed: int, now: int) -> None:
+    def __init__(self, inner: Inner, settings: api.Settings, options: StormOptions, seed: int, now: int) -> None:
         self.inner = inner
         self._settings = settings
         self.gauge = Gauge()
         self._open: dict[str, str] = {}  # requests that have no end yet, and their classes
-        self._restarts = Restarts()
-        longest = plan.longest_wait_ns or settings.limits.max_retry_after_ns
-        self._returns = Returns(longest, plan.whole_seconds, random.Random(seed ^ 0x5707))
+        self._restart_detector = RestartDetector()
+        longest = options.longest_wait_ns or settings.limits.max_retry_after_ns
+        self._retry_schedule = Returns(longest, options.whole_seconds, random.Random(seed ^ 0x5707))
         worths = [c.worth for c in settings.classes.values()]
         self._least_worth, self._most_worth = min(worths, default=1.0), max(worths, default=1.0)
         self._capacity = 0.0
@@ -69,9 +69,9 @@
         actions = self.inner.handle(now, events)
         for i, action in enumerate(actions):
             if type(action) is api.Refuse:
-                actions[i] = self._refused(action, now)
+                actions[i] = self._with_retry_after(action, now)
             elif type(action) is api.Fail:
-                self._lost(action.request)
+                self._count_unserved(action.request)
         return actions + notes if notes else actions
 
     def avoided(self, now: int) -> int:
@@ -83,7 +83,7 @@
         return self.inner.standing(now)
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests without an end."""
         return len(self._open)
 
@@ -99,7 +99,7 @@
 
         Most events are looks that went well, arrivals and answers. They are handed on in the list in which they came:
         a process that has slept misses its caches at every object and line, so a calm request must touch few."""
-        strange = bool(self._restarts.suspects)
+        strange = bool(self._restart_detector.suspects)
         for event in events:
             if type(event) is api.ProbeResult:
                 strange = strange or event.result is not OK
@@ -112,7 +112,7 @@
                 elif event.complete and self._open.pop(event.request, None) is not None:
                     self.gauge.ended(True)
             elif type(event) is api.ClientGone:
-                self._lost(event.request)
+                self._count_unserved(event.request)
             elif type(event) is api.ListUpdate:
                 strange = True
             elif type(event) is api.Truth:  # the ends of others were lost
@@ -121,30 +121,30 @@
 
     def _told(self, events: list[api.Event], now: int) -> list[api.Event]:
         """The same, with the starts that were found out: in the list's news, and before what shows them."""
-        passed: list[api.Event] = []
+        forwarded: list[api.Event] = []
         for event in events:
             if isinstance(event, api.ListUpdate):
-                event = self._restarts.listed(event)
+                event = self._restart_detector.listed(event)
             elif isinstance(event, api.ProbeResult | api.Outcome):
-                entry = self._restarts.met(event.upstream, event.result, now)
+                entry = self._restart_detector.observe(event.upstream, event.result, now)
                 if entry is not None:
-                    passed.append(api.ListUpdate(api.ListKind.DELTA, [entry]))
-            passed.append(event)
-        return passed
+                    forwarded.append(api.ListUpdate(api.ListKind.DELTA, [entry]))
+            forwarded.append(event)
+        return forwarded
 
-    def _lost(self, request: str) -> None:
+    def _count_unserved(self, request: str) -> None:
         if self._open.pop(request, None) is not None:
             self.gauge.ended(False)
 
-    def _refused(self, action: api.Refuse, now: int) -> api.Refuse:
+    def _with_retry_after(self, action: api.Refuse, now: int) -> api.Refuse:
         class_name = self._open.get(action.request)
-        self._lost(action.request)
+        self._count_unserved(action.request)
         if not action.retry_after_ns or class_name is None:
             return action
         cls = self._settings.classes.get(class_name)
         spread = self._most_worth - self._least_worth
-        matters = (cls.worth - self._least_worth) / spread if cls is not None and spread else 1.0
-        return action._replace(retry_after_ns=self._returns.wait_ns(matters, now))
+        priority = (cls.worth - self._least_worth) / spread if cls is not None and spread else 1.0
+        return action._replace(retry_after_ns=self._retry_schedule.wait_ns(priority, now))
 
     # -- what it makes of it --
 
@@ -156,7 +156,7 @@
         self._looked_ns = now
         served = gauge.served * SECOND / FADE_NS
         self._capacity = max(self._capacity * CAPACITY_FADE ** min(looks, 1000), served)
-        self._returns.bear(max(1.0, served if self.phase is Phase.STORM else self._capacity), gauge.rate)
+        self._retry_schedule.bear(max(1.0, served if self.phase is Phase.STORM else self._capacity), gauge.rate)
         return (
             [
                 api.Note(
--- a/lanemux/storm/restarts.py
+++ b/lanemux/storm/restarts.py
@@ -26,7 +26,7 @@
     start_ns: int = 0  # found out here; 0: the list's word holds
 
 
-class Restarts:
+class RestartDetector:
     """The list as told, with the starts that were found out."""
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
         known.told = entry
         return entry._replace(started_ns=known.start_ns) if known.start_ns else entry
 
-    def met(self, upstream: int, result: api.Result, now: int) -> api.Upstream | None:
+    def observe(self, upstream: int, result: api.Result, now: int) -> api.Upstream | None:
         """An attempt or a look has ended; the entry as it is now, if that shows a start the list has not told of."""
         known = self._known.get(upstream)
         if known is None or result in SILENT:
--- a/lanemux/takeover/shared.py
+++ b/lanemux/takeover/cordon_sync.py
@@ -8,7 +8,7 @@
 
 from lanemux.core.cordons import MAX_CORDONS, Word
 from lanemux.core.system import System
-from lanemux.takeover.words import ENDING, MAX_WORD, file_name, read, written
+from lanemux.takeover.cordon_file import ENDING, MAX_WORD, file_name, read, written
 
 log = logging.getLogger(__name__)
 
--- a/lanemux/validation.py
+++ b/lanemux/validation.py
@@ -33,7 +33,7 @@
     return dataclasses.field(default=default, metadata={"low": low, "high": high})
 
 
-def chosen(choices: Sequence[str], default: Any = dataclasses.MISSING) -> Any:
+def one_of(choices: Sequence[str], default: Any = dataclasses.MISSING) -> Any:
     """A dataclass field of text that is one of these."""
     return dataclasses.field(default=default, metadata={"choices": tuple(choices)})
 
--- a/lanemux/virtual/leftovers.py
+++ b/lanemux/virtual/leftovers.py
@@ -8,7 +8,7 @@
 from lanemux import interface as api
 from lanemux.net.node import Node
 from lanemux.policy import Balancer
-from lanemux.storm.module import Storm
+from lanemux.storm.module import StormModule
 from lanemux.virtual.observed import Observed
 from lanemux.virtual.process import Process
 
@@ -18,8 +18,8 @@
 def held_at(node: Node, module: Observed) -> dict[str, int]:
     """What a balancer keeps of requests, by its kind; nothing of it where all requests have ended."""
     held = {**node.held(), **_held_by_decisions(module.decides), "sends": len(module.out)}
-    if isinstance(module.inner, Storm):
-        held["storm's"] = module.inner.open
+    if isinstance(module.inner, StormModule):
+        held["storm's"] = module.inner.open_requests
     return {name: count for name, count in held.items() if count}
 
 
--- a/lanemux/virtual/stage.py
+++ b/lanemux/virtual/stage.py
@@ -36,8 +36,7 @@
 from lanemux.rehearsal.rules import Violation
 from lanemux.rehearsal.service import Figures, figures
 from lanemux.storm.connection_admission import ConnectionAdmission
-from lanemux.storm.module import Plan as StormPlan
-from lanemux.storm.module import Storm
+from lanemux.storm.module import StormModule, StormOptions
 from lanemux.virtual import leftovers
 from lanemux.virtual.agenda import ZERO_NS
 from lanemux.virtual.balancer import CONFIGURATION, RestartableBalancer
@@ -59,7 +58,7 @@
 WAIT_NS = 6 * SECOND  # callers wait so long for an answer that may be excused
 FIRST_BYTES = 60  # of what arrives, shown in the timeline
 LEAST_PLACES, SPARE_SOCKETS = 8, 32  # for clients' connections: what a balancer may keep of its descriptors for others
-STORM_PLAN = StormPlan()
+STORM_PLAN = StormOptions()
 PLANNED = ("die", "start", "drain", "leave", "vanish", "return", "freeze", "neighbour")  # a plan's own, of boxes
 
 
@@ -82,7 +81,7 @@
 
 
 def _storm(decides: Balancer, told: api.Settings, seed: int, now: int) -> Module:
-    return Storm(decides, told, STORM_PLAN, seed, now)
+    return StormModule(decides, told, STORM_PLAN, seed, now)
 
 
 class Stage:
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -14,7 +14,7 @@
 import pytest
 
 from lanemux import interface as api
-from lanemux.cli import _source
+from lanemux.cli import _list_source
 from lanemux.core.membership import Entry, Listing, Membership
 from lanemux.etcd import follower, member, source
 from lanemux.etcd.member import Target
@@ -492,7 +492,7 @@
 def test_the_operators_file_is_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text('[etcd]\nendpoints = ["127.0.0.1:1"]\nprefix = "/a/"\n')
-    lists = Lists(lambda: _source(load(str(path))))
+    lists = Lists(lambda: _list_source(load(str(path))))
     replaced: list[Make | None] = []
     node = cast(Node, SimpleNamespace(upstream_set=SimpleNamespace(replace_source=replaced.append)))
     lists.reload(node)
--- a/tests/storm/test_module.py
+++ b/tests/storm/test_module.py
@@ -7,8 +7,8 @@
 import pytest
 
 from lanemux import interface as api
-from lanemux.storm.module import Plan, Storm
-from lanemux.storm.sense import Phase
+from lanemux.storm.detector import Phase
+from lanemux.storm.module import StormModule, StormOptions
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -54,11 +54,14 @@
     """Sends requests to a storm's module at a rate."""
 
     def __init__(
-        self, settings: api.Settings, decide: Callable[[api.Arrival], api.Action] = refuse, plan: Plan | None = None
+        self,
+        settings: api.Settings,
+        decide: Callable[[api.Arrival], api.Action] = refuse,
+        options: StormOptions | None = None,
     ) -> None:
         self.inner = Inner(decide)
         self.now = 100 * SECOND
-        self.storm = Storm(self.inner, settings, plan or Plan(), 1, self.now)
+        self.storm = StormModule(self.inner, settings, options or StormOptions(), 1, self.now)
         self.count = 0
         self.actions: list[api.Action] = []
 
@@ -111,7 +114,7 @@
         player.now += MS // 2
     waits = [a.retry_after_ns for a in player.actions if isinstance(a, api.Refuse)]
     assert len(waits) == 400 and len(set(waits)) > 380 and min(waits) > 0 and max(waits) <= 2 * SECOND
-    assert player.storm.open == 0
+    assert player.storm.open_requests == 0
 
 
 def test_a_refusal_without_a_time_stays_without() -> None:
@@ -125,10 +128,10 @@
 def test_what_has_ended_is_forgotten(end: Callable[[str], api.Event]) -> None:
     player = Player(told(), lambda e: api.Send(e.request, 1))
     player.ask()
-    assert player.storm.open == 1
+    assert player.storm.open_requests == 1
     player.hand(end("r1"))
     player.hand(end("r1"))
-    assert player.storm.open == 0
+    assert player.storm.open_requests == 0
 
 
 def test_a_restart_that_was_found_out_reaches_the_decisions_as_a_list() -> None:
--- a/tests/storm/test_returns.py
+++ b/tests/storm/test_returns.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lanemux.storm.returns import Returns
+from lanemux.storm.retry_schedule import Returns
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/storm/test_sense.py
+++ b/tests/storm/test_sense.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lanemux.storm.sense import CALM_AFTER_NS, LOOK_NS, Gauge, Phase
+from lanemux.storm.detector import CALM_AFTER_NS, LOOK_NS, Gauge, Phase
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -18,16 +18,16 @@
 
 from lanemux.core.cordons import Word
 from lanemux.core.system import Machine
-from lanemux.takeover import words
+from lanemux.takeover import cordon_file
+from lanemux.takeover.cordon_sync import Shared
 from lanemux.takeover.pace import SLEEP_S, SLEEPS_S, WORK_S, Pace, begin, end
-from lanemux.takeover.shared import Shared
 from tests.sockets import HOST, PATIENCE_S, Got, Upstream, Writer, answers, read, request, run, until, written
 from tests.test_process import config
 
 
 def test_a_word_is_read_as_it_was_written() -> None:
     word = Word("s-\u00e9\ud800", True, 12)
-    assert words.read(words.written(word)) == word
+    assert cordon_file.read(cordon_file.written(word)) == word
 
 
 @pytest.mark.parametrize(
@@ -48,14 +48,14 @@
 )
 def test_what_is_no_word_is_refused(text: bytes) -> None:
     with pytest.raises(ValueError):
-        words.read(text)
+        cordon_file.read(text)
 
 
 def test_every_cut_of_a_word_is_refused() -> None:
-    text = words.written(Word("s-5be2a07c", True, 1_700_000_000_000_000_000))
+    text = cordon_file.written(Word("s-5be2a07c", True, 1_700_000_000_000_000_000))
     for size in range(len(text)):
         with pytest.raises(ValueError):
-            words.read(text[:size])
+            cordon_file.read(text[:size])
 
 
 def test_words_go_both_ways_and_a_spoilt_file_costs_only_itself(tmp_path: Path) -> None:
@@ -64,7 +64,7 @@
         old, new = (Shared(Machine(), f"{tmp_path}/words", h.append) for h in heard)
         old.open()
         assert old.tell(Word("a", True, 1))
-        (tmp_path / "words" / ("0" * 32 + words.ENDING)).write_bytes(b'{"version": 1, "ho')
+        (tmp_path / "words" / ("0" * 32 + cordon_file.ENDING)).write_bytes(b'{"version": 1, "ho')
         new.open()  # what was said before it began is known at once
         assert heard[1] == [Word("a", True, 1)]
         assert new.tell(Word("a", False, 2)) and old.tell(Word("b", True, 3))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lanemux.operators import MAX_FILE, Operators, Storm, load
+from lanemux.operators import MAX_FILE, OperatorsFile, StormSection, load
 from lanemux.validation import ValidationError, build
 from tests.test_process import config
 
@@ -48,7 +48,7 @@
 
 def test_the_example_is_all_off_and_shows_every_key() -> None:
     example = ROOT / "deploy" / "operators.toml"
-    assert load(str(example)) == Operators()
+    assert load(str(example)) == OperatorsFile()
     shown = [
         line.removeprefix("# ")
         for line in example.read_text().splitlines()
@@ -62,7 +62,8 @@
         "log": {"level"},
         "fleet": {"council", "lease_ms"},
     }
-    assert build(Operators, {"storm": table["storm"]}, "example").storm == Storm()  # the defaults are as shown
+    # The defaults are as shown.
+    assert build(OperatorsFile, {"storm": table["storm"]}, "example").storm == StormSection()
 
 
 def test_each_fault_of_the_file_is_one_line_with_file_key_and_what_is_allowed(tmp_path: Path) -> None:
--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -209,7 +209,7 @@
     Planted(
         "equal-retry-after",
         "all refused clients are told to come back after the same time",
-        (("storm/module.py", "self._returns.wait_ns(matters, now))", "500_000_000)"),),
+        (("storm/module.py", "self._retry_schedule.wait_ns(priority, now))", "500_000_000)"),),
         True,
     ),
     Planted(
@@ -218,7 +218,7 @@
         (
             (
                 "storm/module.py",
-                "            elif type(event) is api.ClientGone:\n                self._lost(event.request)\n",
+                "            elif type(event) is api.ClientGone:\n                self._count_unserved(event.request)\n",
                 "",
             ),
         ),
@@ -227,7 +227,7 @@
     Planted(
         "calendar-of-nobody",
         "the calendar of returns counts nobody: all are told its first slot",
-        (("storm/returns.py", "        self._told[(self._slot + ahead) % SLOTS] += 1\n", ""),),
+        (("storm/retry_schedule.py", "        self._scheduled[(self._current_slot + offset) % SLOTS] += 1\n", ""),),
         True,
     ),
     Planted(
@@ -236,7 +236,7 @@
         (
             (
                 "storm/module.py",
-                "                    passed.append(api.ListUpdate(api.ListKind.DELTA, [entry]))\n",
+                "                    forwarded.append(api.ListUpdate(api.ListKind.DELTA, [entry]))\n",
                 "                    event = api.ListUpdate(api.ListKind.DELTA, [entry])\n",
             ),
         ),
