--- a/lanemux/admin/__init__.py
+++ b/lanemux/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' calls and figures at the second address. Imported only where one is named."""
+"""The admin API: operators' calls and statistics at a second address. Imported only if one is configured."""
--- a/lanemux/admin/calls.py
+++ b/lanemux/admin/calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls: what each means and what is answered (operators' page on days). No I/O and no clock."""
+"""The admin API's calls and replies (see the operators' page on days). No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from lanemux.core.tally import Tally
 
 PREFIX = "/admin/"
-MAX_TARGET = 1024  # bytes of a call's target; no host has so long a name
+MAX_TARGET_BYTES = 1024  # of a call's target; no host has so long a name
 
 
 class UpstreamSet(Protocol):
-    """The balancer's list."""
+    """The balancer's upstream list."""
 
     def knows(self, host: str) -> bool:
-        """Is this upstream in the list, or has it a ban?"""
+        """Whether this upstream is in the list or cordoned."""
 
     def cordon(self, host: str, out: bool) -> bool:
-        """Leave the upstream out or use it again, from now on; False where no further ban can be kept."""
+        """Cordon or uncordon the upstream, effective now; return False if the change can't be stored."""
 
 
 class Frontend(Protocol):
-    """The balancer's front."""
+    """The balancer's client side."""
 
     @property
     def ready(self) -> bool:
-        """Is this process ready to serve?"""
+        """Whether this process is ready to serve."""
 
     def quiesce(self) -> None:
-        """Send clients away. Without effect where that is so already."""
+        """Start sending clients away. Has no effect if that has already begun."""
 
     def resume(self) -> bool:
-        """Back to work; False for a process that ends."""
+        """Return to service; return False if the process is shutting down."""
 
 
 class PluginHost(Protocol):
-    """What is plugged into the balancer."""
+    """The balancer's plugins."""
 
     def section(self, name: str) -> Mapping[str, object] | None:
-        """What one of that name tells; None: there is none."""
+        """Return the section of the plugin of that name; None if there is none."""
 
 
 class Balancer(Protocol):
-    """What the calls act on."""
+    """The balancer that the calls act on."""
 
     tally: Tally
 
@@ -61,7 +61,7 @@
 
     @property
     def outstanding(self) -> int:
-        """Requests taken and not ended."""
+        """Requests accepted and not yet ended."""
 
     @property
     def discovered(self) -> int:
@@ -69,23 +69,23 @@
 
     @property
     def ejected(self) -> int:
-        """Listed upstreams that the balancer avoids now, by hand or by choice."""
+        """Listed upstreams that the balancer avoids now, cordoned or by its own decision."""
 
     def standing(self) -> Mapping[str, object]:
-        """Why the decisions do what they do, in figures."""
+        """Return the figures behind the current decisions."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a call is answered: a status, and one line or the figures."""
+    """The reply to a call: a status, and one line of text or JSON."""
 
     status: int
     body: bytes = b""
-    allow: bytes = b""  # the method that is allowed, with 405
+    allow: bytes = b""  # with status 405: the allowed method
 
 
-def figures(balancer: Balancer) -> dict[str, object]:
-    """All counts since the start of the process, and what is held now."""
+def statistics(balancer: Balancer) -> dict[str, object]:
+    """Return all counters since the start of the process, and the current gauges."""
     tally = balancer.tally
     results = {
         name: {"succeeded": tally.succeeded[name], "declined": tally.declined[name], "aborted": tally.aborted[name]}
@@ -104,49 +104,49 @@
     }
 
 
-def _said(status: int, text: str) -> Reply:
+def _text_reply(status: int, text: str) -> Reply:
     return Reply(status, text.encode() + b"\n")
 
 
 def _health(balancer: Balancer) -> Reply:
-    return _said(200, "ready") if balancer.frontend.ready else _said(503, "not ready")
+    return _text_reply(200, "ready") if balancer.frontend.ready else _text_reply(503, "not ready")
 
 
 def _stats(balancer: Balancer) -> Reply:
-    return Reply(200, json.dumps(figures(balancer), separators=(",", ":")).encode())
+    return Reply(200, json.dumps(statistics(balancer), separators=(",", ":")).encode())
 
 
 def _quiesce(balancer: Balancer) -> Reply:
     balancer.frontend.quiesce()
-    return _said(200, "sending clients away")
+    return _text_reply(200, "sending clients away")
 
 
 def _resume(balancer: Balancer) -> Reply:
-    return _said(200, "back to work") if balancer.frontend.resume() else _said(409, "this process ends")
+    return _text_reply(200, "back to work") if balancer.frontend.resume() else _text_reply(409, "this process ends")
 
 
-PLAIN = {
+SIMPLE_CALLS = {
     "health": (b"GET", _health),
     "stats": (b"GET", _stats),
     "quiesce": (b"PUT", _quiesce),
     "resume": (b"PUT", _resume),
 }
-OF_ONE = {"cordon": True, "uncordon": False}
+UPSTREAM_CALLS = {"cordon": True, "uncordon": False}
 
 
-def answer(balancer: Balancer, method: bytes, target: bytes) -> Reply:
-    """Carry out one call."""
+def handle_call(balancer: Balancer, method: bytes, target: bytes) -> Reply:
+    """Execute one call and return its reply."""
     path = target.partition(b"?")[0]
-    if len(target) > MAX_TARGET or not path.startswith(PREFIX.encode()):
-        return _said(404, "no such call")
+    if len(target) > MAX_TARGET_BYTES or not path.startswith(PREFIX.encode()):
+        return _text_reply(404, "no such call")
     name, _, rest = path[len(PREFIX) :].decode("latin-1").partition("/")
-    if name in PLAIN and not rest:
-        wanted, act = PLAIN[name]
-        return act(balancer) if method == wanted else Reply(405, b"another method\n", wanted)
-    if name not in OF_ONE:
+    if name in SIMPLE_CALLS and not rest:
+        allowed_method, handler = SIMPLE_CALLS[name]
+        return handler(balancer) if method == allowed_method else Reply(405, b"another method\n", allowed_method)
+    if name not in UPSTREAM_CALLS:
         section = balancer.plugins.section(name) if not rest else None
         if section is None:
-            return _said(404, "no such call")
+            return _text_reply(404, "no such call")
         if method != b"GET":
             return Reply(405, b"another method\n", b"GET")
         return Reply(200, json.dumps(section, separators=(",", ":")).encode())
@@ -157,7 +157,7 @@
     except UnicodeDecodeError:
         host = ""
     if not host or not balancer.upstream_set.knows(host):
-        return _said(404, "no upstream of that id")
-    if not balancer.upstream_set.cordon(host, OF_ONE[name]):
-        return _said(507, "too many upstreams are out by hand, or it can't be kept for a new version")
-    return _said(200, "left out" if OF_ONE[name] else "used again")
+        return _text_reply(404, "no upstream of that id")
+    if not balancer.upstream_set.cordon(host, UPSTREAM_CALLS[name]):
+        return _text_reply(507, "too many upstreams are out by hand, or it can't be kept for a new version")
+    return _text_reply(200, "left out" if UPSTREAM_CALLS[name] else "used again")
--- a/lanemux/admin/extension.py
+++ b/lanemux/admin/extension.py
@@ -1,4 +1,4 @@
-"""What the platform's second address and inherited listener switch on beside a node."""
+"""Features of a node that the platform's admin address and inherited listener enable."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 from lanemux.admin.server import AdminServer
 from lanemux.core.system import System
 from lanemux.net.node import Node
-from lanemux.takeover.cordon_sync import Shared
-from lanemux.takeover.pace import end
+from lanemux.takeover.cordon_sync import CordonSync
+from lanemux.takeover.pace import stop_pacing
 
 log = logging.getLogger(__name__)
 
-FOLDER = "lanemux-words"  # in $TMPDIR, which both processes of a balancer have
+CORDON_FOLDER = "lanemux-words"  # in $TMPDIR, which both processes of a balancer share
 
 
 class PlatformExtension:
-    """The operators' address, and their words between two processes."""
+    """The admin server, and the exchange of cordons between two processes."""
 
     def __init__(self, node: Node, system: System, folder: str | None) -> None:
-        """`folder`: what two processes of this balancer share; None: nothing."""
+        """`folder`: shared by two processes of this balancer; None: there is none."""
         self._node = node
         self._admin = AdminServer(node, system) if node.config.admin is not None else None
-        self._shared = Shared(system, f"{folder}/{FOLDER}", node.upstream_set.hear_word) if folder is not None else None
+        self._cordon_sync = (
+            CordonSync(system, f"{folder}/{CORDON_FOLDER}", node.upstream_set.hear_word) if folder is not None else None
+        )
 
     def start(self) -> None:
-        """Before the node takes up its list: whoever is out by hand is so from the first decision on."""
-        if self._shared is not None:
-            self._shared.open()
-            self._node.upstream_set.keep_word = self._shared.tell
+        """Start before the node reads its upstream list, so that cordons apply from the first decision on."""
+        if self._cordon_sync is not None:
+            self._cordon_sync.open()
+            self._node.upstream_set.keep_word = self._cordon_sync.publish
         if self._admin is not None:
             try:
                 self._open_admin()
@@ -44,13 +46,14 @@
         self._open_admin()
 
     def close(self) -> None:
+        """Close the admin server and stop exchanging cordons."""
         if self._admin is not None:
             self._admin.close()
-        if self._shared is not None:
-            self._shared.close()
+        if self._cordon_sync is not None:
+            self._cordon_sync.close()
 
 
 def make(node: Node, system: System, folder: str | None) -> PlatformExtension:
-    """What this node's configuration asks for. Words go over only where a second process may come."""
-    end()
+    """Build what this node's configuration asks for. Cordons are shared only if a second process may follow."""
+    stop_pacing()
     return PlatformExtension(node, system, folder if node.config.listen_fd is not None else None)
--- a/lanemux/bootstrap.py
+++ b/lanemux/bootstrap.py
@@ -1,10 +1,10 @@
-"""The first module of a process: it brings in the rest, also where calls of the machine fail for a moment.
+"""The first module of a process: imports the rest of the program, retrying system calls that fail temporarily.
 
-It imports nothing but what is built into the interpreter, so that no file is read before its own retries are in force.
-`ResilientFinder` then finds and reads modules: each call that fails in a way that passes is made again, so that no
-module is ever imported in part. `deploy/balancer.toml` reads this file by itself and calls `main`.
+It imports only modules built into the interpreter, so that no file is read before its own retries are active.
+`ResilientFinder` then finds and reads modules: each call that fails with a temporary error is retried, so that no
+module is ever partly imported. `deploy/balancer.toml` reads and executes this file directly and calls `main`.
 
-No `from __future__ import annotations` here: that reads a file.
+No `from __future__ import annotations` here: that import reads a file.
 """
 
 import _frozen_importlib_external as machinery
@@ -25,8 +25,8 @@
     T = TypeVar("T")
 
 PACKAGE = "lanemux"
-# Another try would fail the same way.
-LASTING = frozenset(
+# Errors that a retry can't fix.
+PERMANENT_ERRNOS = frozenset(
     {
         errno.ENOENT,
         errno.ENOTDIR,
@@ -38,51 +38,52 @@
         errno.EINVAL,
     }
 )
-PAUSE_S = 0.02  # between two tries
-PATIENCE_S = 20.0  # since this module was loaded: after that a failing call is not made again
-LIBRARY_TRIES = 100  # of loading a shared object, whose failures do not tell whether they pass
-READ_BYTES = 256 * 1024
-HELD_SIGNALS = (_signal.SIGHUP, _signal.SIGINT, _signal.SIGTERM)
-END_SIGNALS = {_signal.SIGINT, _signal.SIGTERM}
-OTHER_WORDS = ("--help",)
-INHERITED_VARIABLE = b"RELAY_LISTEN_FD"  # another version may be serving from this socket
-TEMPORARY_FAILURE_STATUS = 75  # EX_TEMPFAIL of sysexits.h: the machine did not let the program be loaded
+RETRY_PAUSE_S = 0.02  # between two attempts
+RETRY_PERIOD_S = 20.0  # from the loading of this module; after that a failing call is not retried
+LIBRARY_LOAD_ATTEMPTS = 100  # for a shared object: its load errors do not show whether they are temporary
+READ_CHUNK_BYTES = 256 * 1024
+BLOCKED_SIGNALS = (_signal.SIGHUP, _signal.SIGINT, _signal.SIGTERM)
+TERMINATION_SIGNALS = {_signal.SIGINT, _signal.SIGTERM}
+OTHER_FLAGS = ("--help",)
+INHERITED_VARIABLE = b"RELAY_LISTEN_FD"  # if set, another version may be serving from this listener
+TEMPORARY_FAILURE_STATUS = 75  # EX_TEMPFAIL of sysexits.h: system errors prevented loading the program
 
 _started_s = time.monotonic()
 
 
 class Interrupted(BaseException):
-    """A signal asks the process to end before the program was there. Not an Exception: modules must not swallow it."""
+    """A termination signal arrived before the program was loaded. A BaseException, so that no module swallows it."""
 
 
-def _pause() -> None:
-    """Wait for the next try. Raises Interrupted."""
-    if not _signal.sigpending().isdisjoint(END_SIGNALS):
+def _pause_before_retry() -> None:
+    """Sleep before the next attempt. Raises Interrupted if a termination signal is pending."""
+    if not _signal.sigpending().isdisjoint(TERMINATION_SIGNALS):
         raise Interrupted
-    time.sleep(PAUSE_S)
+    time.sleep(RETRY_PAUSE_S)
 
 
-def _patient() -> bool:
-    return time.monotonic() < _started_s + PATIENCE_S
+def _may_retry() -> bool:
+    """Whether the retry period of the start is still running."""
+    return time.monotonic() < _started_s + RETRY_PERIOD_S
 
 
-def retried(call: "Callable[[str], T]", path: str) -> "T":
-    """What `call` gives for a path. An OSError is raised if it lasts, or once the patience of the start is over."""
+def call_with_retries(call: "Callable[[str], T]", path: str) -> "T":
+    """Return `call(path)`, retrying temporary errors. Raises OSError if it is permanent or the retry period is over."""
     while True:
         try:
             return call(path)
         except OSError as error:
-            if error.errno in LASTING or not _patient():
+            if error.errno in PERMANENT_ERRNOS or not _may_retry():
                 raise
-        _pause()
+        _pause_before_retry()
 
 
 def read_file(path: str) -> bytes:
-    """A whole file."""
+    """Return the contents of a file."""
     descriptor = posix.open(path, posix.O_RDONLY | posix.O_CLOEXEC)
     pieces = []
     try:
-        while piece := posix.read(descriptor, READ_BYTES):
+        while piece := posix.read(descriptor, READ_CHUNK_BYTES):
             pieces.append(piece)
     finally:
         close_descriptor(descriptor)
@@ -90,7 +91,7 @@
 
 
 def close_descriptor(descriptor: int) -> None:
-    """Close it, once: it is closed also where `close` fails (close(2))."""
+    """Close a descriptor, only once: it is closed even if `close` reports an error (close(2))."""
     try:
         posix.close(descriptor)
     except OSError:
@@ -98,110 +99,112 @@
 
 
 class ResilientSourceLoader(machinery.SourceFileLoader):
-    """Loads a module from its source or bytecode."""
+    """Loads a module from its source or bytecode, with retries."""
 
     def get_data(self, path: str) -> bytes:
-        return retried(read_file, path)
+        return call_with_retries(read_file, path)
 
     def path_stats(self, path: str) -> dict[str, float]:
-        found = retried(posix.stat, path)
+        found = call_with_retries(posix.stat, path)
         return {"mtime": found.st_mtime, "size": found.st_size}
 
 
 class ResilientExtensionLoader(machinery.ExtensionFileLoader):
-    """Loads a module from a shared object."""
+    """Loads a module from a shared object, with retries."""
 
     def create_module(self, spec: "ModuleSpec") -> "ModuleType":
-        for _ in range(LIBRARY_TRIES):
+        for _ in range(LIBRARY_LOAD_ATTEMPTS):
             try:
                 return super().create_module(spec)
             except (ImportError, OSError):
-                if not _patient():
+                if not _may_retry():
                     break
-            _pause()
+            _pause_before_retry()
         return super().create_module(spec)
 
 
 class ResilientFinder:
-    """Finds modules by what their folders list, read once: a `stat` that fails can't hide a module, or make a package
-    without its `__init__.py` of a whole one. What it does not find is left to the interpreter's own finder."""
+    """Finds modules in directory listings that are read once and cached.
+
+    A failing `stat` can therefore neither hide a module nor turn a package into a namespace package without its
+    `__init__.py`. Modules not found here are left to the interpreter's own finder."""
 
     def __init__(self) -> None:
         self._listings: dict[str, frozenset[str]] = {}
         self._extensions: Sequence[str] = _imp.extension_suffixes()
 
     def find_spec(self, name: str, path: "Sequence[str] | None" = None, target: object = None) -> "ModuleSpec | None":
-        """Where a module is; None: not in these folders."""
+        """Return the spec of a module, or None if it is not in these folders."""
         stem = name.rpartition(".")[2]
         for folder in sys.path if path is None else path:
-            if (spec := self._look(name, stem, folder or ".")) is not None:
+            if (spec := self._find_in_folder(name, stem, folder or ".")) is not None:
                 return spec
         return None
 
-    def _look(self, name: str, stem: str, folder: str) -> "ModuleSpec | None":
-        names, place = self._listing(folder), f"{folder}/{stem}"
-        if stem in names and "__init__.py" in self._listing(place):
-            loader = ResilientSourceLoader(name, f"{place}/__init__.py")
+    def _find_in_folder(self, name: str, stem: str, folder: str) -> "ModuleSpec | None":
+        names, path = self._listing(folder), f"{folder}/{stem}"
+        if stem in names and "__init__.py" in self._listing(path):
+            loader = ResilientSourceLoader(name, f"{path}/__init__.py")
             return machinery.spec_from_file_location(
-                name, loader.path, loader=loader, submodule_search_locations=[place]
+                name, loader.path, loader=loader, submodule_search_locations=[path]
             )
         for suffix in self._extensions:
             if stem + suffix in names:
-                library = ResilientExtensionLoader(name, place + suffix)
+                library = ResilientExtensionLoader(name, path + suffix)
                 return machinery.spec_from_file_location(name, library.path, loader=library)
         if f"{stem}.py" in names:
-            source = ResilientSourceLoader(name, f"{place}.py")
+            source = ResilientSourceLoader(name, f"{path}.py")
             return machinery.spec_from_file_location(name, source.path, loader=source)
         return None
 
     def _listing(self, folder: str) -> frozenset[str]:
-        """The names in a folder; none where it is no folder, or may not be read."""
+        """Return the names in a folder; empty if it is not a folder or can't be read."""
         known = self._listings.get(folder)
         if known is None:
             try:
-                known = frozenset(retried(posix.listdir, folder))
+                known = frozenset(call_with_retries(posix.listdir, folder))
             except OSError:
                 known = frozenset()
             self._listings[folder] = known
         return known
 
     def invalidate_caches(self) -> None:
-        """Look at the folders again."""
+        """Forget the listings, so that the folders are read again."""
         self._listings.clear()
 
 
-def install() -> None:
-    """From now on modules are found and read with retries, the interpreter's own finder behind."""
+def install_finder() -> None:
+    """Put the finder with retries before the interpreter's own path finder."""
     finder = ResilientFinder()
-    for place, other in enumerate(sys.meta_path):
-        if other is machinery.PathFinder:
-            sys.meta_path.insert(place, finder)
+    for index, existing in enumerate(sys.meta_path):
+        if existing is machinery.PathFinder:
+            sys.meta_path.insert(index, finder)
             return
     sys.meta_path.append(finder)
 
 
-def add_libraries() -> None:
-    """Make the virtual environment's libraries importable, where the interpreter was started without `site`."""
+def add_site_packages() -> None:
+    """Add the virtual environment's site-packages to the path if the interpreter was started without `site`."""
     if sys.flags.no_site:
         version = "python{}.{}".format(*sys.version_info)
         environment = sys.executable.rpartition("/bin/")[0]
         sys.path.append(f"{environment}/lib/{version}/site-packages")
 
 
-def _forget_program() -> None:
-    """Drop what was imported of the program, in part or whole; the standard library's modules stay."""
+def _unload_program() -> None:
+    """Remove the program's modules, also partly imported ones, from `sys.modules`; the standard library's stay."""
     for name in list(sys.modules):
         if name == PACKAGE or (name.startswith(PACKAGE + ".") and name != __name__):
             del sys.modules[name]
 
 
-def _serves(arguments: "Sequence[str]") -> bool:
-    """Do these start a balancer?"""
-    return not arguments or arguments[0] == "serve" or arguments[0] not in OTHER_WORDS and arguments[0].startswith("--")
+def _starts_balancer(arguments: "Sequence[str]") -> bool:
+    """Whether these arguments start a balancer."""
+    return not arguments or arguments[0] == "serve" or arguments[0] not in OTHER_FLAGS and arguments[0].startswith("--")
 
 
-def _load(arguments: "Sequence[str]") -> "Callable[[Sequence[str]], int]":
-    """The command line, with all that its command needs to start. What fails is tried again until patience is over."""
+def _load_command_line(arguments: "Sequence[str]") -> "Callable[[Sequence[str]], int]":
+    """Import the command line and what its command needs to start, retrying failures during the retry period."""
     while True:
         try:
             from lanemux.cli import main, preload
@@ -209,59 +212,59 @@
             preload(arguments)
             return main
         except Exception:
-            if not _patient():
+            if not _may_retry():
                 raise
-        _pause()
-        _forget_program()
+        _pause_before_retry()
+        _unload_program()
 
 
-def _run(arguments: "Sequence[str]") -> int:
-    """Load the program and run its command line; gives the exit status."""
+def _load_and_run(arguments: "Sequence[str]") -> int:
+    """Load the program, run its command line and return the exit status."""
     try:
-        command = _load(arguments)
+        command = _load_command_line(arguments)
     except Interrupted:
         return 0
     except Exception as error:
-        say(f"{PACKAGE}: the program can't be loaded: {type(error).__name__}: {error}")
+        write_error_line(f"{PACKAGE}: the program can't be loaded: {type(error).__name__}: {error}")
         return TEMPORARY_FAILURE_STATUS
     return command(arguments)
 
 
-def _run_paced(arguments: "Sequence[str]") -> int:
-    """The same beside another version that may be serving: its clients come first."""
-    from lanemux.takeover.pace import begin, end
+def _load_and_run_paced(arguments: "Sequence[str]") -> int:
+    """As `_load_and_run`, paced: another version may be serving, and its clients take precedence."""
+    from lanemux.takeover.pace import start_pacing, stop_pacing
 
-    begin()
+    start_pacing()
     try:
-        return _run(arguments)
+        return _load_and_run(arguments)
     finally:
-        end()  # a start may fail before it has ended
+        stop_pacing()  # a start that fails may not have stopped it
 
 
-def say(line: str) -> None:
-    """A line on standard error, if it can be had."""
+def write_error_line(line: str) -> None:
+    """Write a line to standard error, ignoring write errors."""
     try:
         posix.write(2, line.encode() + b"\n")
     except OSError:
         pass
 
 
-def _serve(arguments: "Sequence[str]") -> "NoReturn":
-    """Be one balancer: no signal is lost while it is loaded, and nothing that fails after it has ended counts."""
-    _signal.pthread_sigmask(_signal.SIG_BLOCK, HELD_SIGNALS)
+def _run_balancer(arguments: "Sequence[str]") -> "NoReturn":
+    """Run one balancer, losing no signal that arrives while it loads and ignoring errors after it has ended."""
+    _signal.pthread_sigmask(_signal.SIG_BLOCK, BLOCKED_SIGNALS)
     sys.dont_write_bytecode = True
     try:
-        status = (_run_paced if posix.environ.get(INHERITED_VARIABLE) else _run)(arguments)
+        status = (_load_and_run_paced if posix.environ.get(INHERITED_VARIABLE) else _load_and_run)(arguments)
     except Interrupted:
         status = 0
     posix._exit(status)
 
 
 def main() -> "NoReturn":
-    """Run the process's command line, and end it."""
-    add_libraries()
-    install()
+    """Run the command line of this process and exit."""
+    add_site_packages()
+    install_finder()
     arguments = sys.argv[1:]
-    if _serves(arguments):
-        _serve(arguments)
-    sys.exit(_run(arguments))
+    if _starts_balancer(arguments):
+        _run_balancer(arguments)
+    sys.exit(_load_and_run(arguments))
--- a/lanemux/takeover/__init__.py
+++ b/lanemux/takeover/__init__.py
@@ -1,1 +1,1 @@
-"""What a new version takes over from the running one. Imported only where the platform lets two run side by side."""
+"""Takeover of a running version by a new one. Imported only if the platform lets both run side by side."""
--- a/lanemux/takeover/cordon_file.py
+++ b/lanemux/takeover/cordon_file.py
@@ -1,4 +1,4 @@
-"""The form in which operators' words on upstreams are kept for a process beside this one. No I/O and no clock."""
+"""File format of the cordons shared with another process of this balancer. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -7,30 +7,32 @@
 
 from lanemux.core.cordons import Word
 
-VERSION = 1
-ENDING = ".word"
-MAX_WORD = 8192  # bytes of a file
+FORMAT_VERSION = 1
+FILE_SUFFIX = ".word"
+MAX_FILE_BYTES = 8192
 
 
 def file_name(host: str) -> str:
-    """Where the word on a host is kept: one file a host, so that two writers never undo one another's words."""
-    return hashlib.blake2b(host.encode(errors="surrogatepass"), digest_size=16).hexdigest() + ENDING
+    """Return the file name for a host: one file per host, so that two writers never overwrite each other's changes."""
+    return hashlib.blake2b(host.encode(errors="surrogatepass"), digest_size=16).hexdigest() + FILE_SUFFIX
 
 
-def written(word: Word) -> bytes:
-    """The file's text."""
-    return json.dumps({"version": VERSION, "host": word.host, "out": word.out, "at_ns": word.at_ns}).encode()
+def encode(change: Word) -> bytes:
+    """Encode a change as the content of its file."""
+    return json.dumps(
+        {"version": FORMAT_VERSION, "host": change.host, "out": change.out, "at_ns": change.at_ns}
+    ).encode()
 
 
-def read(text: bytes) -> Word:
-    """The word of a file; ValueError for one that is torn, foreign or of another version."""
+def decode(text: bytes) -> Word:
+    """Decode the content of a file. Raises ValueError if it is truncated, foreign or of another version."""
     try:
-        told = json.loads(text)
+        content = json.loads(text)
     except RecursionError:
         raise ValueError("nested too deep") from None
-    if not isinstance(told, dict) or told.get("version") != VERSION:
-        raise ValueError("of another version")
-    host, out, at_ns = told.get("host"), told.get("out"), told.get("at_ns")
+    if not isinstance(content, dict) or content.get("version") != FORMAT_VERSION:
+        raise ValueError("unsupported version")
+    host, out, at_ns = content.get("host"), content.get("out"), content.get("at_ns")
     if not (isinstance(host, str) and host and isinstance(out, bool) and type(at_ns) is int and at_ns > 0):
-        raise ValueError("no host, out or at_ns")
+        raise ValueError("host, out or at_ns is missing or invalid")
     return Word(host, out, at_ns)
--- a/lanemux/takeover/cordon_sync.py
+++ b/lanemux/takeover/cordon_sync.py
@@ -1,4 +1,4 @@
-"""Operators' words between the two processes of one balancer: written to the folder both have, and looked at."""
+"""Exchanges cordons between the two processes of one balancer, through files in a shared folder that is polled."""
 
 from __future__ import annotations
 
@@ -8,78 +8,79 @@
 
 from lanemux.core.cordons import MAX_CORDONS, Word
 from lanemux.core.system import System
-from lanemux.takeover.cordon_file import ENDING, MAX_WORD, file_name, read, written
+from lanemux.takeover.cordon_file import FILE_SUFFIX, MAX_FILE_BYTES, decode, encode, file_name
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.1  # a word told to the other process holds here after this; the grace of the page is 500 ms
+POLL_INTERVAL_S = 0.1  # a change made in the other process applies here after this; 500 ms are allowed
 
 
-class Shared:
-    """One folder of words. `heard` is called for each word that is new to this process."""
+class CordonSync:
+    """The shared folder of cordons. `on_change` is called for each change that is new to this process."""
 
-    def __init__(self, system: System, folder: str, heard: Callable[[Word], None]) -> None:
+    def __init__(self, system: System, folder: str, on_change: Callable[[Word], None]) -> None:
         self._system = system
         self._folder = folder
-        self._heard = heard
-        self._seen: dict[str, bytes] = {}  # file -> its text as last read or written
-        self._changed_ns = -1
-        self._settled = False  # it has been looked at once more since it changed
-        self._looking: asyncio.TimerHandle | None = None
-        self._failing = False  # the folder can't be read: said once
+        self._on_change = on_change
+        self._known_texts: dict[str, bytes] = {}  # file name -> content as last read or written
+        self._folder_changed_ns = -1
+        self._polled_since_change = False  # the folder was polled once more since it changed
+        self._poll_timer: asyncio.TimerHandle | None = None
+        self._read_failing = False  # the folder can't be read; logged once
 
     def open(self) -> None:
-        """Read what there is, and go on looking. Without effect where the folder can't be had: that is logged."""
+        """Read the folder now and poll it from then on. A folder that can't be created is logged and has no effect."""
         try:
             self._system.make_folder(self._folder)
         except OSError as error:
-            log.warning("takeover: %s: %s; words of operators stay in this process", self._folder, error.strerror)
-        self._look()
+            log.warning("takeover: %s: %s; cordons are not shared with another version", self._folder, error.strerror)
+        self._poll()
 
-    def tell(self, word: Word) -> bool:
-        """Keep a word for the other process; False if that can't be done."""
-        name, text = file_name(word.host), written(word)
+    def publish(self, change: Word) -> bool:
+        """Write a change for the other process; return False if it can't be written."""
+        name, text = file_name(change.host), encode(change)
         try:
             self._system.replace(f"{self._folder}/{name}", text)
         except OSError as error:
-            log.warning("takeover: a word on %.80s can't be kept: %s", word.host, error.strerror)
+            log.warning("takeover: the cordon of %.80s can't be stored: %s", change.host, error.strerror)
             return False
-        self._seen[name] = text
+        self._known_texts[name] = text
         return True
 
-    def _look(self) -> None:
-        self._looking = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+    def _poll(self) -> None:
+        self._poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
         try:
             changed_ns = self._system.changed_ns(self._folder)
-            # File times are as coarse as the kernel's tick: a word kept in the tick of the last look shows no change.
-            same = changed_ns == self._changed_ns
-            if same and self._settled:
+            # File times have the resolution of a kernel tick: a write in the tick of the last poll is not visible.
+            unchanged = changed_ns == self._folder_changed_ns
+            if unchanged and self._polled_since_change:
                 return
-            names = sorted(n for n in self._system.names(self._folder) if n.endswith(ENDING))[:MAX_CORDONS]
+            names = sorted(n for n in self._system.names(self._folder) if n.endswith(FILE_SUFFIX))[:MAX_CORDONS]
         except OSError as error:
-            if not self._failing:
+            if not self._read_failing:
                 log.warning("takeover: %s: %s", self._folder, error.strerror)
-            self._failing = True
+            self._read_failing = True
             return
-        self._failing = False
-        self._changed_ns, self._settled = changed_ns, same
+        self._read_failing = False
+        self._folder_changed_ns, self._polled_since_change = changed_ns, unchanged
         for name in names:
-            self._take(name)
-        for gone in self._seen.keys() - set(names):
-            del self._seen[gone]
+            self._read_file(name)
+        for removed in self._known_texts.keys() - set(names):
+            del self._known_texts[removed]
 
-    def _take(self, name: str) -> None:
+    def _read_file(self, name: str) -> None:
         try:
-            text = self._system.read(f"{self._folder}/{name}", MAX_WORD)
-            if text == self._seen.get(name):
+            text = self._system.read(f"{self._folder}/{name}", MAX_FILE_BYTES)
+            if text == self._known_texts.get(name):
                 return
-            self._seen[name] = text
-            word = read(text)
+            self._known_texts[name] = text
+            change = decode(text)
         except (OSError, ValueError) as error:
-            log.warning("takeover: %s is left out: %s", name, error)
+            log.warning("takeover: %s is ignored: %s", name, error)
             return
-        self._heard(word)
+        self._on_change(change)
 
     def close(self) -> None:
-        if self._looking is not None:
-            self._looking.cancel()
+        """Stop polling."""
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
--- a/lanemux/takeover/pace.py
+++ b/lanemux/takeover/pace.py
@@ -1,52 +1,52 @@
-"""A start that leaves the processor to the version that is serving.
+"""Paces the CPU use of a starting process while the previous version is still serving.
 
-Guards against a new version that takes, in one go, more of the core that both have than is left: the old one is then
-stopped with it until the two are even. With sleeps only between two imports (the decisions and their types take
-30 and 20 ms each) the old version stood still for 60 to 85 ms at every take-over under load, and now and
-then its clients came again all at once after that: 60 requests met connections that nobody read.
-Harm: the start takes up to SLEEPS_S longer; the platform allows 6 s.
+Both versions share one CPU quota. If the new one exceeds it in one burst, the system throttles both until the quota
+has recovered. With sleeps only between imports (the decision modules and their types take 30 and 20 ms each), the
+old version stalled for 60 to 85 ms at every takeover under load. Sometimes its clients then retried all at once, and
+60 requests arrived on connections that nobody read.
+Cost: the start takes up to MAX_TOTAL_SLEEP_S longer; the platform allows 6 s.
 """
 
-import _signal as signal  # type: ignore[import-not-found]  # built in: `signal` is a file, and imports more
+import _signal as signal  # type: ignore[import-not-found]  # built in; `signal` would read a file and import more
 import time
 
-TYPE_CHECKING = False  # the less is imported before the first sleep, the better
+TYPE_CHECKING = False  # import as little as possible before the first sleep
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-WORK_S = 0.004  # processor time between two sleeps: a tick of the kernel, hardly longer than a request takes
-SLEEP_S = 0.03  # an eighth of the time is worked
-SLEEPS_S = 2.5  # all sleeps together at the most
+CPU_SLICE_S = 0.004  # CPU time between two sleeps: one kernel tick, little more than a request takes
+SLEEP_S = 0.03  # leaves a duty cycle of about one eighth
+MAX_TOTAL_SLEEP_S = 2.5  # limit on the sum of all sleeps
 
 
-class Pace:
-    """What the signal of a timer on the process's own processor time calls: it sleeps, wherever the work stands."""
+class CpuPacer:
+    """Signal handler of a timer on the process's CPU time: sleeps, whatever code it interrupts."""
 
     def __init__(self, sleep: "Callable[[float], None]" = time.sleep) -> None:
         self._sleep = sleep
-        self._slept_s = 0.0
+        self._total_slept_s = 0.0
 
-    def __call__(self, number: int, frame: object) -> None:
-        if self._slept_s >= SLEEPS_S:
-            end()
+    def __call__(self, signal_number: int, frame: object) -> None:
+        if self._total_slept_s >= MAX_TOTAL_SLEEP_S:
+            stop_pacing()
             return
-        self._slept_s += SLEEP_S
+        self._total_slept_s += SLEEP_S
         self._sleep(SLEEP_S)
 
 
-def begin(pace: "Pace | None" = None) -> None:
-    """From now on whatever this process does is paced. Only the main thread may call it (`signal.signal`)."""
+def start_pacing(pacer: "CpuPacer | None" = None) -> None:
+    """Start pacing this process. Only the main thread may call this (`signal.signal`)."""
     try:
-        signal.signal(signal.SIGPROF, pace or Pace())
-        signal.setitimer(signal.ITIMER_PROF, WORK_S, WORK_S)
+        signal.signal(signal.SIGPROF, pacer or CpuPacer())
+        signal.setitimer(signal.ITIMER_PROF, CPU_SLICE_S, CPU_SLICE_S)
     except OSError:
-        pass  # a start that is not paced is better than none
+        pass  # an unpaced start is better than none
 
 
-def end() -> None:
-    """No longer: what is done in service is not to make the loop wait."""
+def stop_pacing() -> None:
+    """Stop pacing: in service it would block the event loop."""
     try:
         signal.setitimer(signal.ITIMER_PROF, 0.0)
-        signal.signal(signal.SIGPROF, signal.SIG_IGN)  # one may still be on its way, and would end the process
+        signal.signal(signal.SIGPROF, signal.SIG_IGN)  # a pending signal would otherwise end the process
     except OSError:
-        pass  # then the handler stays, and sleeps once more at the most
+        pass  # the handler then stays and sleeps at most once more
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The second address on loopback: calls, figures, cordons, sending away, callers who say nothing."""
+"""The admin server on loopback: calls, statistics, cordons, quiescing and silent callers."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 async def call(port: int, line: str) -> Got:
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(f"{line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-    got = await asyncio.wait_for(read(reader), 1.0)  # a caller waits so long
-    assert await reader.read() == b""  # one call a connection
+    got = await asyncio.wait_for(read(reader), 1.0)  # callers wait this long
+    assert await reader.read() == b""  # one call per connection
     writer.close()
     return got
 
@@ -62,7 +62,7 @@
         ("NONSENSE", 400),
     ],
 )
-def test_each_call_has_its_answer(line: str, status: int) -> None:
+def test_each_call_has_its_status(line: str, status: int) -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         async with node(Script(), upstream) as client, admin_server(client.node) as port:
@@ -72,11 +72,11 @@
 
 
 async def stats(port: int) -> dict[str, Any]:
-    told: dict[str, Any] = json.loads((await call(port, "GET /admin/stats")).body)
-    return told
+    reported: dict[str, Any] = json.loads((await call(port, "GET /admin/stats")).body)
+    return reported
 
 
-def test_figures_are_what_clients_and_upstreams_saw() -> None:
+def test_statistics_match_what_clients_and_upstreams_saw() -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200, b"x")).start()
         script = Script()
@@ -96,13 +96,13 @@
         async with node(script, upstream) as client, admin_server(client.node) as port:
             for kind in (0, 0, 0, 1, 1, 2):
                 await client.ask(request("/read", f"Req-Cost: {kind}"))
-            await client.another().ask(request("/none"))  # no class: not a request that was taken
-            told = await stats(port)
-            assert told["results"]["read"] == {"succeeded": 3, "declined": 2, "aborted": 1}
-            assert told["results"]["pay"] == {"succeeded": 0, "declined": 0, "aborted": 0}
-            assert told["forwards"] == len(upstream.got) == 3
-            assert (told["outstanding"], told["discovered"], told["ejected"]) == (0, 1, 0)
-            assert told["standing"] == {"rate": 1.0}
+            await client.another().ask(request("/none"))  # no class: the request is not accepted
+            reported = await stats(port)
+            assert reported["results"]["read"] == {"succeeded": 3, "declined": 2, "aborted": 1}
+            assert reported["results"]["pay"] == {"succeeded": 0, "declined": 0, "aborted": 0}
+            assert reported["forwards"] == len(upstream.got) == 3
+            assert (reported["outstanding"], reported["discovered"], reported["ejected"]) == (0, 1, 0)
+            assert reported["standing"] == {"rate": 1.0}
             await client.send(request("/pay", method="POST"))
             await until(lambda: len(upstream.got) == 4)
             assert (await call(port, "PUT /admin/cordon/s0")).status == 200
@@ -111,18 +111,18 @@
     run(test())
 
 
-def test_a_request_that_waits_for_its_connection_is_called_off_by_a_cordon() -> None:
-    """The cordon comes in the turn in which the attempt has begun and its connection is not up."""
+def test_cordon_cancels_a_request_that_waits_for_its_connection() -> None:
+    """The cordon arrives in the turn that begins the attempt, before its connection is established."""
 
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         script = Script()
         sends_first(script, lambda e: [api.Refuse(e.request)] if isinstance(e, api.Outcome) else ())
         async with node(script, upstream) as client:
-            balancer, was = client.node, script.react
+            balancer, original = client.node, script.react
 
             def react(event: api.Event) -> Iterable[api.Action]:
-                actions = was(event)
+                actions = original(event)
                 if isinstance(event, api.Arrival):
                     asyncio.get_running_loop().call_soon(balancer.upstream_set.cordon, "s0", True)
                 return actions
@@ -136,7 +136,7 @@
     run(test())
 
 
-def test_nothing_goes_to_who_is_out_and_traffic_comes_back_with_the_call() -> None:
+def test_cordoned_upstream_gets_no_requests_until_uncordoned() -> None:
     async def test() -> None:
         one, two = await Upstream(answers(200)).start(), await Upstream(answers(200)).start()
         module = Balancer(settings(), 1, time.monotonic_ns())
@@ -149,12 +149,12 @@
             assert (await call(port, "PUT /admin/uncordon/s0")).status == 200
             while not one.got:
                 assert (await client.ask(request())).status == 200
-                assert len(two.got) < 3000, "it is left alone for good"
+                assert len(two.got) < 3000, "the uncordoned upstream gets no requests"
 
     run(test())
 
 
-def test_callers_who_say_nothing_delay_nobody_and_go() -> None:
+def test_silent_callers_delay_nobody_and_are_closed() -> None:
     async def test() -> None:
         async with node(Script()) as client, admin_server(client.node) as port:
             silent = [await asyncio.open_connection(HOST, port) for _ in range(3 * MAX_CONNECTIONS)]
@@ -169,7 +169,7 @@
     run(test())
 
 
-def test_clients_are_sent_away_and_come_back() -> None:
+def test_quiesce_sends_clients_away_and_resume_takes_them_back() -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         script = Script()
@@ -183,7 +183,7 @@
             assert (await call(port, "PUT /admin/quiesce")).status == 200
             assert (await client.another().ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 503
             assert (await call(port, "GET /admin/health")).status == 503
-            late = await client.another().ask(request())  # it was on its way
+            late = await client.another().ask(request())  # it was already on its way
             assert late.status == 200 and late.headers["connection"] == "close"
             last = await busy.ask(request())
             assert last.status == 200 and last.headers["connection"] == "close" and await busy.closed()
@@ -198,7 +198,7 @@
     run(test())
 
 
-def test_a_process_that_ends_does_not_come_back() -> None:
+def test_draining_process_does_not_resume() -> None:
     async def test() -> None:
         async with node(Script()) as client, admin_server(client.node) as port:
             await call(port, "PUT /admin/quiesce")
@@ -211,20 +211,20 @@
     run(test())
 
 
-def test_a_ban_that_could_not_be_kept_is_kept_when_it_is_told_again() -> None:
+def test_cordon_that_could_not_be_stored_is_stored_when_repeated() -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         async with node(Script(), upstream) as client, admin_server(client.node) as port:
-            kept: list[bool] = [False, True]
-            told: list[Word] = []
+            results: list[bool] = [False, True]
+            reported: list[Word] = []
 
             def keep(word: Word) -> bool:
-                told.append(word)
-                return kept[len(told) - 1]
+                reported.append(word)
+                return results[len(reported) - 1]
 
             client.node.upstream_set.keep_word = keep
             assert (await call(port, "PUT /admin/cordon/s0")).status == 507
             assert (await call(port, "PUT /admin/cordon/s0")).status == 200
-            assert told[0] == told[1] and told[0].out
+            assert reported[0] == reported[1] and reported[0].out
 
     run(test())
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -1,4 +1,4 @@
-"""A new version beside the running one: the listener that both have, and operators' words between them."""
+"""Takeover by a new version: the shared listener, paced starts and the exchange of cordons."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from lanemux.core.cordons import Word
 from lanemux.core.system import Machine
 from lanemux.takeover import cordon_file
-from lanemux.takeover.cordon_sync import Shared
-from lanemux.takeover.pace import SLEEP_S, SLEEPS_S, WORK_S, Pace, begin, end
+from lanemux.takeover.cordon_sync import CordonSync
+from lanemux.takeover.pace import CPU_SLICE_S, MAX_TOTAL_SLEEP_S, SLEEP_S, CpuPacer, start_pacing, stop_pacing
 from tests.sockets import HOST, PATIENCE_S, Got, Upstream, Writer, answers, read, request, run, until, written
 from tests.test_process import config
 
 
-def test_a_word_is_read_as_it_was_written() -> None:
-    word = Word("s-\u00e9\ud800", True, 12)
-    assert cordon_file.read(cordon_file.written(word)) == word
+def test_encoded_cordon_is_decoded_unchanged() -> None:
+    change = Word("s-\u00e9\ud800", True, 12)
+    assert cordon_file.decode(cordon_file.encode(change)) == change
 
 
 @pytest.mark.parametrize(
@@ -46,64 +46,67 @@
         b"[" * 8000,
     ],
 )
-def test_what_is_no_word_is_refused(text: bytes) -> None:
+def test_invalid_cordon_file_is_rejected(text: bytes) -> None:
     with pytest.raises(ValueError):
-        cordon_file.read(text)
+        cordon_file.decode(text)
 
 
-def test_every_cut_of_a_word_is_refused() -> None:
-    text = cordon_file.written(Word("s-5be2a07c", True, 1_700_000_000_000_000_000))
+def test_truncated_cordon_file_is_rejected() -> None:
+    text = cordon_file.encode(Word("s-5be2a07c", True, 1_700_000_000_000_000_000))
     for size in range(len(text)):
         with pytest.raises(ValueError):
-            cordon_file.read(text[:size])
+            cordon_file.decode(text[:size])
 
 
-def test_words_go_both_ways_and_a_spoilt_file_costs_only_itself(tmp_path: Path) -> None:
+def test_cordons_are_exchanged_both_ways_and_a_broken_file_is_skipped(tmp_path: Path) -> None:
     async def test() -> None:
-        heard: tuple[list[Word], list[Word]] = ([], [])
-        old, new = (Shared(Machine(), f"{tmp_path}/words", h.append) for h in heard)
+        received: tuple[list[Word], list[Word]] = ([], [])
+        old, new = (CordonSync(Machine(), f"{tmp_path}/words", h.append) for h in received)
         old.open()
-        assert old.tell(Word("a", True, 1))
-        (tmp_path / "words" / ("0" * 32 + cordon_file.ENDING)).write_bytes(b'{"version": 1, "ho')
-        new.open()  # what was said before it began is known at once
-        assert heard[1] == [Word("a", True, 1)]
-        assert new.tell(Word("a", False, 2)) and old.tell(Word("b", True, 3))
-        await until(lambda: heard == ([Word("a", False, 2)], [Word("a", True, 1), Word("b", True, 3)]))
+        assert old.publish(Word("a", True, 1))
+        (tmp_path / "words" / ("0" * 32 + cordon_file.FILE_SUFFIX)).write_bytes(b'{"version": 1, "ho')
+        new.open()  # earlier changes are known at once
+        assert received[1] == [Word("a", True, 1)]
+        assert new.publish(Word("a", False, 2)) and old.publish(Word("b", True, 3))
+        await until(lambda: received == ([Word("a", False, 2)], [Word("a", True, 1), Word("b", True, 3)]))
         old.close()
         new.close()
 
     run(test())
 
 
-def test_a_word_kept_in_the_tick_of_the_last_look_is_heard(tmp_path: Path) -> None:
+def test_cordon_written_in_the_tick_of_the_last_poll_is_read(tmp_path: Path) -> None:
     class Coarse(Machine):
         def changed_ns(self, folder: str) -> int:
-            return 1  # all within one tick of the file system's clock
+            return 1  # as if all happened within one tick of the file system's clock
 
     async def test() -> None:
-        heard: list[Word] = []
-        shared, other = Shared(Coarse(), f"{tmp_path}", heard.append), Shared(Machine(), f"{tmp_path}", lambda w: None)
-        shared.open()
-        assert other.tell(Word("a", True, 1))
-        await until(lambda: heard == [Word("a", True, 1)])
-        shared.close()
+        received: list[Word] = []
+        sync, other = (
+            CordonSync(Coarse(), f"{tmp_path}", received.append),
+            CordonSync(Machine(), f"{tmp_path}", lambda w: None),
+        )
+        sync.open()
+        assert other.publish(Word("a", True, 1))
+        await until(lambda: received == [Word("a", True, 1)])
+        sync.close()
 
     run(test())
 
 
-def test_a_word_that_cannot_be_kept_is_told(tmp_path: Path) -> None:
+def test_cordon_that_cannot_be_stored_is_reported(tmp_path: Path) -> None:
     async def test() -> None:
         (tmp_path / "file").write_bytes(b"")
-        shared = Shared(Machine(), f"{tmp_path}/file/words", lambda word: None)
-        shared.open()
-        assert not shared.tell(Word("a", True, 1))
-        shared.close()
+        sync = CordonSync(Machine(), f"{tmp_path}/file/words", lambda change: None)
+        sync.open()
+        assert not sync.publish(Word("a", True, 1))
+        sync.close()
 
     run(test())
 
 
-def test_a_paced_start_sleeps_wherever_its_work_stands() -> None:
-    """One long stretch without an import: no part of it takes the processor for long."""
+def test_paced_start_sleeps_within_a_long_computation() -> None:
+    """A long computation without imports: no part of it uses the CPU for long without a sleep."""
     begun, slept_at, slept = time.process_time(), [], 0.0
 
     def sleep(for_s: float) -> None:
@@ -111,29 +114,29 @@
         slept_at.append(time.process_time())
         slept += for_s
 
-    begin(Pace(sleep))
+    start_pacing(CpuPacer(sleep))
     try:
         while time.process_time() < begun + 1.0:
             pass
     finally:
-        end()
+        stop_pacing()
     first = [at for at in slept_at if at < begun + 0.2]
-    assert max(b - a for a, b in itertools.pairwise([begun, *first])) < 6 * WORK_S  # the kernel's tick may be 10 ms
-    assert slept == pytest.approx(SLEEPS_S, abs=SLEEP_S)  # and then it sleeps no more
+    assert max(b - a for a, b in itertools.pairwise([begun, *first])) < 6 * CPU_SLICE_S  # a kernel tick may be 10 ms
+    assert slept == pytest.approx(MAX_TOTAL_SLEEP_S, abs=SLEEP_S)  # and then it stops sleeping
 
 
-def test_nothing_is_paced_once_it_has_ended() -> None:
+def test_no_sleep_after_pacing_has_stopped() -> None:
     slept: list[float] = []
-    begin(Pace(slept.append))
-    end()
+    start_pacing(CpuPacer(slept.append))
+    stop_pacing()
     before, begun = len(slept), time.process_time()
-    while time.process_time() < begun + 10 * WORK_S:
+    while time.process_time() < begun + 10 * CPU_SLICE_S:
         pass
     assert len(slept) == before
 
 
-def test_a_paced_start_that_fails_ends_with_its_own_status(tmp_path: Path) -> None:
-    """The timer must not end the process while the interpreter leaves."""
+def test_failed_paced_start_keeps_its_exit_status(tmp_path: Path) -> None:
+    """The timer's signal must not end the process while the interpreter exits."""
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     for _ in range(3):
         ended = subprocess.run(
@@ -147,7 +150,7 @@
 
 
 class Pair:
-    """Processes on one inherited listener, as the platform starts them."""
+    """Processes that share one inherited listener, as the platform starts them."""
 
     def __init__(self, folder: Path, *upstreams: int) -> None:
         self.folder, self.upstreams = folder, upstreams
@@ -156,7 +159,7 @@
         self.running: list[Process] = []
 
     async def start(self, name: str) -> tuple[Process, int]:
-        """A process, and its operators' port."""
+        """Start a process; return it and the port of its admin server."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(config(*self.upstreams, limits={"sockets": 256, "cores": 1.0})))
         env = {
@@ -176,7 +179,7 @@
             line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
             assert line, "it ended before it was ready"
         port = int(line.split()[-1])
-        await until_yes(port)
+        await until_healthy(port)
         return process, port
 
     async def stop(self) -> None:
@@ -195,13 +198,13 @@
     return got
 
 
-async def until_yes(port: int) -> None:
+async def until_healthy(port: int) -> None:
     async with asyncio.timeout(PATIENCE_S):
         while (await call(port, "GET /admin/health")).status != 200:
             await asyncio.sleep(0.01)
 
 
-def test_no_request_is_lost_and_a_cordon_goes_over(tmp_path: Path) -> None:
+def test_takeover_loses_no_request_and_keeps_a_cordon(tmp_path: Path) -> None:
     async def test() -> None:
         async def slowly(got: Got, writer: Writer) -> None:
             await asyncio.sleep(0.01)
@@ -209,15 +212,15 @@
 
         one, two = await Upstream(slowly).start(), await Upstream(answers(200, b"x")).start()
         pair = Pair(tmp_path, one.port, two.port)
-        over = False
+        finished = False
         ends: list[int] = []
 
         async def client() -> None:
-            """Asks without pause, on a connection for as long as that is kept."""
-            while not over:
+            """Send requests without pause, reusing a connection for as long as it is kept open."""
+            while not finished:
                 reader, writer = await asyncio.open_connection(HOST, pair.port)
                 kept = True
-                while kept and not over:
+                while kept and not finished:
                     writer.write(request())
                     got = await asyncio.wait_for(read(reader), PATIENCE_S)
                     ends.append(got.status)
@@ -236,26 +239,26 @@
                 await until(lambda seen=seen: len(ends) > seen + 50)  # type: ignore[misc]
                 old = new
             assert json.loads((await call(port, "GET /admin/stats")).body)["ejected"] == 1
-            over = True
+            finished = True
             await asyncio.gather(*clients)
             assert set(ends) == {200}
             assert two.got == []
             assert (await call(port, "PUT /admin/uncordon/s1")).status == 200
         finally:
-            over = True
+            finished = True
             await pair.stop()
 
     run(test())
 
 
-def test_what_is_no_listener_is_refused(tmp_path: Path) -> None:
+def test_inherited_socket_that_does_not_listen_is_rejected(tmp_path: Path) -> None:
     plain = socket.socket()
     with pytest.raises(OSError):
         Machine().inherit(plain.fileno())
     plain.close()
 
 
-def test_nothing_of_it_is_imported_where_nothing_is_told(tmp_path: Path) -> None:
+def test_admin_is_imported_only_if_configured(tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config(1)))
@@ -267,9 +270,9 @@
             "from lanemux.cli import main; sys.exit(main([]))"
         )
         env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")} | {"RELAY_CONFIG": str(path)}
-        for told, imported in (({}, False), ({"RELAY_ADMIN_ADDR": f"{HOST}:0"}, True)):
+        for variables, imported in (({}, False), ({"RELAY_ADMIN_ADDR": f"{HOST}:0"}, True)):
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", code, stdout=PIPE, stderr=PIPE, env=env | told
+                sys.executable, "-c", code, stdout=PIPE, stderr=PIPE, env=env | variables
             )
             out, _ = await asyncio.wait_for(process.communicate(), PATIENCE_S)
             assert (b"lanemux.admin" in out) is imported
