--- a/lanemux/__main__.py
+++ b/lanemux/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lanemux`: the command line, which starts one balancer unless told otherwise."""
+"""`python -m lanemux`: the command line, which runs one balancer by default."""
 
 from lanemux.bootstrap import main as run
 
--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -1,13 +1,13 @@
-"""The command line. Each command's code is imported only when it is asked for.
+"""The command line. Each command's code is imported only when that command is run.
 
-    python -m lanemux [serve] [--operators FILE]          one balancer, from RELAY_CONFIG
-    python -m lanemux check [--operators FILE] [CONFIG]   read the files as the daemon would; open nothing
-    python -m lanemux fleet show ADDRESS [--json]         who is there, as the balancer of that second address sees it
-    python -m lanemux rehearse ...                        a day of service on this machine's loopback
-    python -m lanemux soak ...                            seeds of failing system calls, restarts and signals
-    python -m lanemux simulate ...                        the real code on a virtual clock, faults from seeds
+    python -m lanemux [serve] [--operators FILE]          run one balancer, configured by RELAY_CONFIG
+    python -m lanemux check [--operators FILE] [CONFIG]   validate the files as the daemon does; start nothing
+    python -m lanemux fleet show ADDRESS [--json]         fleet members as seen by the balancer at this admin address
+    python -m lanemux rehearse ...                        rehearse a day of service on the local loopback
+    python -m lanemux soak ...                            inject failing system calls, restarts and signals from seeds
+    python -m lanemux simulate ...                        run the real code on a virtual clock, faults from seeds
 
-Exit status 2 means bad use or a file that can't be used, with one line for each fault on standard error.
+Exit status 2 means invalid usage or an unusable file; each fault is one line on standard error.
 """
 
 from __future__ import annotations
@@ -32,70 +32,71 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Run one command and give its exit status."""
+    """Run one command and return its exit status."""
     if not argv and not os.environ.get(OPERATORS_VARIABLE):
-        return _daemon()  # as the platform starts it: nothing else is imported
-    command, rest = (argv[0], argv[1:]) if argv and not argv[0].startswith("--") else ("serve", argv)
+        return _run_platform_daemon()  # how the platform starts it; imports no optional code
+    command, arguments = (argv[0], argv[1:]) if argv and not argv[0].startswith("--") else ("serve", argv)
     if argv[:1] in (["--help"], ["-h"]):
         print(__doc__)
         return 0
     if command == "serve":
-        return _serve(rest)
+        return _serve(arguments)
     if command == "check":
-        return _check(rest)
+        return _check(arguments)
     if command == "fleet":
         from lanemux.fleet.command import main as fleet
 
-        return fleet(rest)
+        return fleet(arguments)
     if command == "rehearse":
         from lanemux.rehearsal.command import main as rehearse
 
-        return rehearse(rest)
+        return rehearse(arguments)
     if command == "soak":
         from lanemux.rehearsal.soak.command import main as soak
 
-        return soak(rest)
+        return soak(arguments)
     if command == "simulate":
         from lanemux.virtual.command import main as simulate
 
-        return simulate(rest)
-    print(f"lanemux: no command {command!r}; there are {', '.join(COMMANDS)}", file=sys.stderr)
+        return simulate(arguments)
+    print(f"lanemux: unknown command {command!r}; available: {', '.join(COMMANDS)}", file=sys.stderr)
     return USAGE_STATUS
 
 
 def preload(argv: Sequence[str]) -> None:
-    """Import what a balancer needs to start, where these arguments start one."""
+    """Import what a balancer needs to start, if these arguments start one."""
     if not argv or argv[0] == "serve" or argv[0].startswith("--") and argv[0] != "--help":
         import lanemux.net.daemon  # noqa: F401
 
 
-def _daemon() -> int:
+def _run_platform_daemon() -> int:
+    """Run one balancer as the platform starts it, without an operators' file."""
     from lanemux.net.daemon import main as daemon
 
-    return daemon(extend=_extend)
+    return daemon(extend=_platform_extension)
 
 
-def _extend(node: Node, system: System) -> Extension:
-    """The operators' address, and what goes from version to version, where the platform tells of them."""
+def _platform_extension(node: Node, system: System) -> Extension:
+    """Return the admin address and cordon exchange between versions, as far as the platform configures them."""
     from lanemux.admin.extension import make
 
     return make(node, system, os.environ.get("TMPDIR"))
 
 
 def _list_source(operators: OperatorsFile) -> MakeSource | None:
-    """Where the list comes from, as the operators' file says; None: platform discovery."""
-    told = operators.etcd
-    if told is None:
+    """Return the upstream list's source that the operators' file configures; None: platform discovery."""
+    etcd = operators.etcd
+    if etcd is None:
         return None
     from lanemux.core.address import read_address
     from lanemux.etcd.member import Target
     from lanemux.etcd.source import Make
 
-    return Make(Target(tuple(map(read_address, told.endpoints)), told.prefix, told.user, told.password_file))
+    return Make(Target(tuple(map(read_address, etcd.endpoints)), etcd.prefix, etcd.user, etcd.password_file))
 
 
-def _storm(operators: OperatorsFile) -> tuple[MakeModule, MakeConnectionAdmission | None]:
-    """What decides, and who lets connections in, with [storm] or without."""
+def _decision_factories(operators: OperatorsFile) -> tuple[MakeModule, MakeConnectionAdmission | None]:
+    """Return the factories of the decision module and of connection admission, with or without [storm]."""
     from lanemux.policy import Balancer
 
     if operators.storm is None:
@@ -105,8 +106,8 @@
     return make(operators.storm)
 
 
-def _fleet(operators: OperatorsFile) -> Callable[[Node], None]:
-    """What adds plugins to the node, with [fleet] or without."""
+def _plugin_adder(operators: OperatorsFile) -> Callable[[Node], None]:
+    """Return the function that adds plugins to the node, with or without [fleet]."""
     if operators.fleet is None:
         return lambda node: None
     from functools import partial
@@ -116,7 +117,8 @@
     return partial(add_membership, told=operators.fleet)
 
 
-def _serve(rest: Sequence[str]) -> int:
+def _serve(arguments: Sequence[str]) -> int:
+    """Run one balancer, with the options of `serve`."""
     import logging
 
     from lanemux.net.daemon import main
@@ -125,93 +127,95 @@
     from lanemux.operators import load
     from lanemux.validation import ValidationError
 
-    options = _arguments("serve", rest)
+    options = _parse_options("serve", arguments)
 
     def read() -> MakeSource | None:
-        told = load(options.operators)
+        operators = load(options.operators)
         for name in ("storm", "fleet", "log"):
-            if getattr(told, name) != getattr(first, name):
-                logging.getLogger(__name__).warning("reload: another [%s] needs a restart", name)
-        return _list_source(told)
+            if getattr(operators, name) != getattr(initial, name):
+                logging.getLogger(__name__).warning("reload: the change of [%s] needs a restart", name)
+        return _list_source(operators)
 
     try:
-        first = _load_when_readable(options.operators)
+        initial = _load_with_retries(options.operators)
         lists = Lists(read)
     except ValidationError as error:
-        return _faults(error.faults)
+        return _report_faults(error.faults)
     except Interrupted:
         return 0
-    if misfits := _misfits(first, options.operators, os.environ.get("RELAY_CONFIG")):
-        return _faults(misfits)
-    return main(lists, *_storm(first), _extend, first.log.level, _fleet(first))
+    if mismatches := _config_mismatches(initial, options.operators, os.environ.get("RELAY_CONFIG")):
+        return _report_faults(mismatches)
+    return main(lists, *_decision_factories(initial), _platform_extension, initial.log.level, _plugin_adder(initial))
 
 
-def _load_when_readable(path: str | None) -> OperatorsFile:
-    """The operators' file, once it can be read. ValidationError for one that can't be used."""
+def _load_with_retries(path: str | None) -> OperatorsFile:
+    """Load the operators' file, retrying temporary read errors. Raises ValidationError if the file is unusable."""
     from lanemux.core.failures import MomentaryError
     from lanemux.core.system import Machine
     from lanemux.net.startup import wait_for
     from lanemux.operators import load
     from lanemux.validation import ValidationError
 
-    def attempt() -> OperatorsFile:
+    def read_once() -> OperatorsFile:
         try:
             return load(path)
         except ValidationError as error:
-            if error.momentary:
+            if error.temporary:
                 raise MomentaryError(str(error)) from None
             raise
 
-    return wait_for("operators' file", attempt, Machine())
+    return wait_for("operators' file", read_once, Machine())
 
 
-def _misfits(operators: OperatorsFile, file: str | None, path: str | None) -> list[str]:
-    """What of the operators' file does not fit the configuration, a line each."""
-    if operators.fleet is None or not path:
+def _config_mismatches(operators: OperatorsFile, operators_path: str | None, config_path: str | None) -> list[str]:
+    """Return one line for each setting of the operators' file that contradicts the configuration."""
+    if operators.fleet is None or not config_path:
         return []
     from lanemux.fleet.setup import faults
     from lanemux.net.config import BadConfig, read_config
 
     try:
-        return [f"{file}: {fault}" for fault in faults(operators.fleet, read_config(path))]
+        return [f"{operators_path}: {fault}" for fault in faults(operators.fleet, read_config(config_path))]
     except BadConfig:
         return []
 
 
-def _check(rest: Sequence[str]) -> int:
+def _check(arguments: Sequence[str]) -> int:
+    """Validate the configuration and the operators' file; the exit status is 2 if either has a fault."""
     from lanemux.net.config import BadConfig, read_config
     from lanemux.operators import load
     from lanemux.validation import ValidationError
 
-    options = _arguments("check", rest)
+    options = _parse_options("check", arguments)
     faults: list[str] = []
-    path = options.config or os.environ.get("RELAY_CONFIG")
+    config_path = options.config or os.environ.get("RELAY_CONFIG")
     try:
-        faults += _misfits(load(options.operators), options.operators, path)
+        faults += _config_mismatches(load(options.operators), options.operators, config_path)
     except ValidationError as error:
         faults += error.faults
     try:
-        if path:
-            read_config(path)
+        if config_path:
+            read_config(config_path)
     except BadConfig as error:
         faults.append(str(error))
-    if not path and not options.operators:
+    if not config_path and not options.operators:
         faults.append("nothing to check: name a CONFIG or --operators FILE")
-    return _faults(faults)
+    return _report_faults(faults)
 
 
-def _arguments(command: str, rest: Sequence[str]) -> argparse.Namespace:
-    """The options of `serve` and `check`; ends the process with status 2 on any other."""
+def _parse_options(command: str, arguments: Sequence[str]) -> argparse.Namespace:
+    """Parse the options of `serve` and `check`; an unknown option exits the process with status 2."""
     import argparse
 
     parser = argparse.ArgumentParser(f"lanemux {command}", allow_abbrev=False)
     parser.add_argument("--operators", metavar="FILE", default=os.environ.get(OPERATORS_VARIABLE))
     if command == "check":
         parser.add_argument("config", nargs="?", metavar="CONFIG")
-    return parser.parse_args(rest)
+    return parser.parse_args(arguments)
 
 
-def _faults(faults: Sequence[str]) -> int:
+def _report_faults(faults: Sequence[str]) -> int:
+    """Print each fault to standard error and return the exit status."""
     for fault in faults:
         print(f"lanemux: {fault}", file=sys.stderr)
     return USAGE_STATUS if faults else 0
--- a/lanemux/operators.py
+++ b/lanemux/operators.py
@@ -1,6 +1,6 @@
-"""The operators' own file (TOML): what this installation switches on beyond the platform.
+"""The operators' file (TOML): optional features of this installation beyond what the platform configures.
 
-Named by `--operators FILE` or the variable LANEMUX_OPERATORS. Without it everything in it is off.
+Its path is given by `--operators FILE` or the variable LANEMUX_OPERATORS. Without it every feature in it is off.
 `deploy/operators.toml` shows every key with its unit and default.
 """
 
@@ -12,27 +12,27 @@
 from lanemux.core.address import BadAddress, read_address
 from lanemux.validation import ValidationError, bounded, build, installed, parse
 
-MAX_FILE = 1024 * 1024  # bytes; a file by hand has some KiB, and a larger one is the wrong file
+MAX_FILE_BYTES = 1024 * 1024  # a file written by hand has a few KiB; a larger one is the wrong file
 
 
 @dataclass(frozen=True, slots=True)
 class RehearsalSection:
-    """[rehearsal]: the kit at the operators' desks; the daemon itself does not read it."""
+    """[rehearsal]: settings of the `rehearse` command; the daemon does not use them."""
 
-    scenarios_directory: str = ""  # `rehearse NAME` looks for NAME.toml here first; "": nowhere
+    scenarios_directory: str = ""  # `rehearse NAME` looks for NAME.toml here first; "": no directory
 
 
 @dataclass(frozen=True, slots=True)
 class EtcdSection:
-    """[etcd]: the list comes from etcd and not from platform discovery. Needs the extra `etcd`."""
+    """[etcd]: the upstream list comes from etcd instead of platform discovery. Needs the extra `etcd`."""
 
-    endpoints: tuple[str, ...]  # IP:PORT of each member; names are not looked up
-    prefix: str  # a box is the key PREFIX HOST
+    endpoints: tuple[str, ...]  # IP:PORT of each member; host names are not resolved
+    prefix: str  # a box is stored under the key PREFIX HOST
     user: str = ""  # "": no authentication
-    password_file: str = ""  # read at each authentication
+    password_file: str = ""  # read for each authentication
 
     def faults(self) -> list[str]:
-        """What is wrong beyond the kinds of values: key and reason."""
+        """Return key and reason of each fault that the types and bounds of the fields don't cover."""
         found = [] if self.endpoints else ["endpoints: [] is not a list of at least one IP:PORT"]
         for number, endpoint in enumerate(self.endpoints):
             try:
@@ -52,48 +52,48 @@
 
 @dataclass(frozen=True, slots=True)
 class StormSection:
-    """[storm]: retry storms are noticed and softened. The section's presence switches it on."""
+    """[storm]: retry storms are detected and mitigated. The section's presence switches this on."""
 
-    longest_wait_ms: int = bounded(0, 600_000, 0)  # that Retry-After tells; 0: the platform's limit
-    whole_seconds: bool = False  # Retry-After in whole seconds (RFC 9110), for ordinary clients
-    source_part: float = bounded(0.01, 1, 0.5)  # of the places for connections, that one source may hold
+    longest_wait_ms: int = bounded(0, 600_000, 0)  # the longest Retry-After sent; 0: the platform's limit
+    whole_seconds: bool = False  # send Retry-After in whole seconds (RFC 9110), for ordinary clients
+    source_part: float = bounded(0.01, 1, 0.5)  # share of the connection slots that one source may hold
 
 
-COUNCILS = (0, 1, 3, 5, 7)  # an even one more adds a vote that is needed and none that can be missed
+COUNCIL_SIZES = (0, 1, 3, 5, 7)  # an even size needs one more vote for a quorum but tolerates no more failures
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSection:
-    """[fleet]: balancers tell one another who is there, in the peers' datagrams. Its presence switches it on."""
+    """[fleet]: membership among balancers, exchanged in the peers' datagrams. Its presence switches this on."""
 
-    council: tuple[int, ...] = ()  # numbers in `peers` of those who settle who leads; (): nobody leads
-    lease_ms: int = bounded(500, 60_000, 3000)  # for so long one leads without asking again
+    council: tuple[int, ...] = ()  # indexes in `peers` of the voters that elect the leader; (): no leader
+    lease_ms: int = bounded(500, 60_000, 3000)  # how long a leader leads before it must renew its lease
 
     def faults(self) -> list[str]:
-        """What is wrong beyond the kinds of values: key and reason."""
-        seats = set(self.council)
-        if len(self.council) in COUNCILS and len(seats) == len(self.council) and min(seats, default=0) >= 0:
+        """Return key and reason of each fault that the types and bounds of the fields don't cover."""
+        members = set(self.council)
+        if len(self.council) in COUNCIL_SIZES and len(members) == len(self.council) and min(members, default=0) >= 0:
             return []
         return [f"council: {list(self.council)[:8]} is not a list of 1, 3, 5 or 7 different numbers in `peers`"]
 
 
-LEVELS = ("debug", "info", "warning")
+LOG_LEVELS = ("debug", "info", "warning")
 
 
 @dataclass(frozen=True, slots=True)
 class LogSection:
-    """[log]: what the log holds. At "debug" also, once a second, why the decisions do what they do."""
+    """[log]: the log level. "debug" also logs, once a second, the reasons behind the decisions."""
 
     level: str = "info"
 
     def faults(self) -> list[str]:
-        """What is wrong beyond the kinds of values: key and reason."""
-        return [] if self.level in LEVELS else [f"level: {self.level[:80]!r} is none of {', '.join(LEVELS)}"]
+        """Return key and reason of each fault that the types and bounds of the fields don't cover."""
+        return [] if self.level in LOG_LEVELS else [f"level: {self.level[:80]!r} is none of {', '.join(LOG_LEVELS)}"]
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorsFile:
-    """The whole file; an absent section is off."""
+    """The whole file; a section that is absent is switched off."""
 
     etcd: EtcdSection | None = None
     storm: StormSection | None = None
@@ -103,32 +103,32 @@
 
 
 def load(path: str | None) -> OperatorsFile:
-    """The file, read and checked whole; with no path, everything off.
+    """Read and validate the file; without a path, return the defaults with everything off.
 
-    Raises ValidationError with one line for each fault: file, key and what is allowed."""
+    Raises ValidationError with one line for each fault: file, key and allowed values."""
     if not path:
         return OperatorsFile()
-    made = build(OperatorsFile, parse(read_text(Path(path)), path), path)
-    found = [f"{path}: log.{fault}" for fault in made.log.faults()]
-    if made.fleet is not None:
-        found += [f"{path}: fleet.{fault}" for fault in made.fleet.faults()]
-    if made.etcd is not None:
-        found += [f"{path}: etcd.{fault}" for fault in made.etcd.faults()]
+    loaded = build(OperatorsFile, parse(read_text(Path(path)), path), path)
+    found = [f"{path}: log.{fault}" for fault in loaded.log.faults()]
+    if loaded.fleet is not None:
+        found += [f"{path}: fleet.{fault}" for fault in loaded.fleet.faults()]
+    if loaded.etcd is not None:
+        found += [f"{path}: etcd.{fault}" for fault in loaded.etcd.faults()]
     if found:
         raise ValidationError(found)
-    return made
+    return loaded
 
 
 def read_text(path: Path) -> str:
-    """A configuration file's text; ValidationError where it can't be read, isn't UTF-8 or is absurdly large."""
+    """Read a configuration file. Raises ValidationError if it is unreadable, not UTF-8 or far too large."""
     try:
         with path.open("rb") as file:
-            data = file.read(MAX_FILE + 1)
-        if len(data) > MAX_FILE:
-            raise ValidationError([f"{path}: over {MAX_FILE} bytes"])
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise ValidationError([f"{path}: over {MAX_FILE_BYTES} bytes"])
         return data.decode()
     except OSError as error:
-        lasting = isinstance(error, FileNotFoundError | PermissionError | IsADirectoryError | NotADirectoryError)
-        raise ValidationError([f"{path}: {error.strerror}"], momentary=not lasting) from None
+        permanent = isinstance(error, FileNotFoundError | PermissionError | IsADirectoryError | NotADirectoryError)
+        raise ValidationError([f"{path}: {error.strerror}"], temporary=not permanent) from None
     except UnicodeDecodeError:
         raise ValidationError([f"{path}: not UTF-8"]) from None
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line and the operators' file: what each takes, and that bad ones cost one line a fault."""
+"""The command line and the operators' file: what is accepted, and that each fault is reported in one line."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lanemux.operators import MAX_FILE, OperatorsFile, StormSection, load
+from lanemux.operators import MAX_FILE_BYTES, OperatorsFile, StormSection, load
 from lanemux.validation import ValidationError, build
 from tests.test_process import config
 
@@ -27,9 +27,9 @@
 )
 
 
-def lanemux(*words: str, **variables: str) -> subprocess.CompletedProcess[str]:
+def lanemux(*arguments: str, **variables: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "lanemux", *words],
+        [sys.executable, "-m", "lanemux", *arguments],
         capture_output=True,
         text=True,
         cwd=ROOT,
@@ -46,7 +46,7 @@
     return caught.value.faults
 
 
-def test_the_example_is_all_off_and_shows_every_key() -> None:
+def test_example_file_enables_nothing_and_shows_every_key() -> None:
     example = ROOT / "deploy" / "operators.toml"
     assert load(str(example)) == OperatorsFile()
     shown = [
@@ -66,7 +66,7 @@
     assert build(OperatorsFile, {"storm": table["storm"]}, "example").storm == StormSection()
 
 
-def test_each_fault_of_the_file_is_one_line_with_file_key_and_what_is_allowed(tmp_path: Path) -> None:
+def test_each_fault_is_one_line_with_file_key_and_allowed_values(tmp_path: Path) -> None:
     lines = faults(tmp_path, "[rehearsal]\nscenarios_directory = 4\nspeed = 1\n[warp]\n")
     assert len(lines) == 3
     assert all(line.startswith(str(tmp_path / "operators.toml")) for line in lines)
@@ -76,27 +76,27 @@
     assert "warp: unknown key; allowed: etcd, storm, fleet, rehearsal, log" in text
 
 
-def test_a_council_that_cannot_be_is_one_line_each(tmp_path: Path) -> None:
+def test_invalid_council_is_one_fault(tmp_path: Path) -> None:
     for council in ("[0, 1]", "[0, 1, 1]", "[-1]", '"all"'):
         assert len(faults(tmp_path, f"[fleet]\ncouncil = {council}\n")) == 1
 
 
-def test_a_seat_that_no_peer_has_is_told_by_check_and_by_the_daemon(tmp_path: Path) -> None:
-    path, told = tmp_path / "config.json", tmp_path / "operators.toml"
+def test_check_and_daemon_reject_a_council_member_without_a_peer(tmp_path: Path) -> None:
+    path, operators = tmp_path / "config.json", tmp_path / "operators.toml"
     path.write_text(json.dumps(config(peers=["127.0.0.1:9", "127.0.0.1:10"], peer_listen="127.0.0.1:9")))
-    told.write_text("[fleet]\ncouncil = [0, 1, 2]\n")
+    operators.write_text("[fleet]\ncouncil = [0, 1, 2]\n")
     for command in (["check", str(path)], ["serve"]):
-        ended = lanemux(*command, RELAY_CONFIG=str(path), LANEMUX_OPERATORS=str(told))
+        ended = lanemux(*command, RELAY_CONFIG=str(path), LANEMUX_OPERATORS=str(operators))
         assert ended.returncode == 2
-        assert ended.stderr == f"lanemux: {told}: fleet.council: 2 is no number in peers; allowed are 0 to 1\n"
+        assert ended.stderr == f"lanemux: {operators}: fleet.council: 2 is no number in peers; allowed are 0 to 1\n"
 
 
-def test_a_level_that_is_none_is_told_beside_other_faults(tmp_path: Path) -> None:
+def test_unknown_log_level_is_reported_together_with_other_faults(tmp_path: Path) -> None:
     lines = faults(tmp_path, '[log]\nlevel = "loud"\n[etcd]\nendpoints = []\nprefix = "/"\n')
     assert len(lines) == 2 and "log.level: 'loud' is none of debug, info, warning" in lines[0]
 
 
-def test_a_section_for_etcd_is_checked_beyond_the_kinds_of_its_values(tmp_path: Path) -> None:
+def test_etcd_section_is_validated_beyond_its_types(tmp_path: Path) -> None:
     lines = faults(tmp_path, '[etcd]\nendpoints = ["etcd:2379", "127.0.0.1:2379"]\nprefix = ""\nuser = "u"\n')
     text = "\n".join(lines)
     assert len(lines) == 3 and "etcd.endpoints[0]: 'etcd:2379' is not IP:PORT" in text
@@ -105,18 +105,18 @@
     assert "at least one IP:PORT" in faults(tmp_path, '[etcd]\nendpoints = []\nprefix = "/a/"\n')[0]
 
 
-def test_a_section_that_needs_an_extra_that_is_missing_says_so(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_etcd_section_reports_a_missing_extra(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(sys.modules, "grpclib", None)
     monkeypatch.delitem(sys.modules, "grpclib.client", raising=False)
     assert "pip install '.[etcd]'" in faults(tmp_path, '[etcd]\nendpoints = ["127.0.0.1:1"]\nprefix = "/a/"\n')[0]
 
 
-@pytest.mark.parametrize("text", ["a = ", "a = " + "[" * 5000, "x" * (MAX_FILE + 1)])
-def test_a_file_that_is_no_toml_is_one_fault(tmp_path: Path, text: str) -> None:
+@pytest.mark.parametrize("text", ["a = ", "a = " + "[" * 5000, "x" * (MAX_FILE_BYTES + 1)])
+def test_invalid_toml_is_one_fault(tmp_path: Path, text: str) -> None:
     assert len(faults(tmp_path, text)) == 1
 
 
-def test_check_reads_both_files_and_opens_nothing(tmp_path: Path) -> None:
+def test_check_validates_both_files(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.json", tmp_path / "bad.json"
     good.write_text(json.dumps(config(1)))
     bad.write_text("{}")
@@ -129,16 +129,16 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [("--operators", "/nowhere.toml"), ("serve", "--speed"), ("fly",), ("check", "--operators", "/nowhere.toml")],
 )
-def test_bad_use_ends_with_status_2_and_a_line(words: tuple[str, ...]) -> None:
-    ended = lanemux(*words)
+def test_invalid_usage_exits_with_status_2_and_a_message(arguments: tuple[str, ...]) -> None:
+    ended = lanemux(*arguments)
     assert ended.returncode == 2 and ended.stderr
 
 
-def test_the_platforms_start_imports_nothing_that_is_optional() -> None:
-    # Guards the memory and the start of the daemon: what is switched off must not be loaded.
+def test_platform_start_imports_no_optional_module() -> None:
+    # Features that are off must not be imported: they would cost memory and start-up time.
     look = (
         "import sys; sys.argv = ['lanemux']\nfrom lanemux.cli import main\nassert main([]) == 2\n"
         f"print([m for m in {OPTIONAL!r} if m in sys.modules])"
