--- a/lanemux/storm/__init__.py
+++ b/lanemux/storm/__init__.py
@@ -1,1 +1,1 @@
-"""Retry storms: noticing them, softening them, telling clients when to come back. See docs/design/storm.md."""
+"""Retry storms: detection, mitigation, and spreading clients' retries by Retry-After. See docs/design/storm.md."""
--- a/lanemux/storm/detector.py
+++ b/lanemux/storm/detector.py
@@ -1,6 +1,6 @@
-"""Is there a retry storm, for all and for each tenant? Constant work an event, constant memory a tenant. No I/O.
+"""Detects retry storms, for all tenants or one. Constant work per event, constant memory per tenant. No I/O.
 
-A storm is clients' retries that meet refusals: much fresh work alone is none, nor are retries that are served.
+A storm is clients' retries that are refused: neither many new requests alone nor retries that are served are a storm.
 """
 
 from __future__ import annotations
@@ -10,95 +10,99 @@
 from enum import Enum
 
 SECOND = 1_000_000_000
-FADE_NS = SECOND // 2  # counts fall to 1/e in this time: a storm is told within half a second, chance is not
-LOOK_NS = SECOND // 10  # how often the phase is told; a storm of clients that retry at once doubles in that time
-LEAST = 8.0  # requests in the faded counts below which nothing is told
-ENTER, AGAIN = 0.25, 0.15  # share of retries among what comes that makes a storm, and makes one of an ebb
-STAY = 0.10  # and below which a storm begins to ebb
-UNSERVED = 0.15  # share of ends that are no answer, below which retries harm nobody
-CALM_AFTER_NS = 3 * SECOND  # an ebb without a second wave
+DECAY_NS = SECOND // 2  # time constant of the counts (1/e): detects a storm in half a second, but not fluctuation
+UPDATE_INTERVAL_NS = SECOND // 10  # between two updates of the phase; a storm of immediate retries doubles in that time
+MIN_REQUESTS = 8.0  # in the decayed counts, for a share to be meaningful
+STORM_RETRY_SHARE, SECOND_WAVE_RETRY_SHARE = 0.25, 0.15  # of arrivals: starts a storm when calm, when subsiding
+EXIT_SHARE = 0.10  # share of retries or of unserved requests below which a storm subsides
+STORM_UNSERVED_SHARE = 0.15  # share of unserved requests below which retries do no harm
+CALM_AFTER_NS = 3 * SECOND  # time in the subsiding phase without a second wave
 
 
 class Phase(Enum):
-    """What the moment is."""
+    """The state of the detector."""
 
     CALM = "calm"
     STORM = "storm"
-    EBB = "ebb"  # it was a storm a moment ago: a second wave is met sooner than a first one
+    SUBSIDING = "ebb"  # after a storm: a second wave is detected at a lower share than a first one
 
 
 @dataclass(slots=True)
-class Gauge:
-    """The counts of one tenant, or of all, and the phase that they tell.
+class StormDetector:
+    """Counts the requests of one tenant, or of all, and derives the phase from them.
 
-    What passes is only counted; the counts fade when the phase is told: a request costs no power."""
+    Requests are only counted; the counts decay when the phase is updated, so no request costs an exponential."""
 
     phase: Phase = Phase.CALM
-    since_ns: int = 0
-    # As they were at the last look; what is old weighs less.
-    fresh: float = 0.0  # requests asked for the first time
-    again: float = 0.0  # clients' retries
+    phase_since_ns: int = 0
+    # Exponentially decayed counts as of the last update.
+    new_requests: float = 0.0
+    retries: float = 0.0  # clients' retries
     served: float = 0.0
-    unserved: float = 0.0  # refused, failed, or their client had gone
-    # Since then.
-    _fresh: int = 0
-    _again: int = 0
-    _served: int = 0
-    _unserved: int = 0
-
-    def arrived(self, retry: bool) -> None:
+    unserved: float = 0.0  # refused, failed, or abandoned by their client
+    # Counts since the last update.
+    _added_new_requests: int = 0
+    _added_retries: int = 0
+    _added_served: int = 0
+    _added_unserved: int = 0
+
+    def record_arrival(self, retry: bool) -> None:
+        """Count a request from a client."""
         if retry:
-            self._again += 1
+            self._added_retries += 1
         else:
-            self._fresh += 1
+            self._added_new_requests += 1
 
-    def ended(self, served: bool) -> None:
+    def record_end(self, served: bool) -> None:
+        """Count the end of a request."""
         if served:
-            self._served += 1
+            self._added_served += 1
         else:
-            self._unserved += 1
+            self._added_unserved += 1
 
     @property
-    def retries(self) -> float:
-        """The share of retries in what comes; 0 of too little."""
-        came = self.again + self.fresh
-        return self.again / came if came >= LEAST else 0.0
+    def retry_share(self) -> float:
+        """The share of retries among arrivals; 0 if there are too few arrivals."""
+        arrived = self.retries + self.new_requests
+        return self.retries / arrived if arrived >= MIN_REQUESTS else 0.0
 
     @property
-    def unmet(self) -> float:
-        """The share of ends that served nobody; 0 of too few."""
+    def unserved_share(self) -> float:
+        """The share of unserved requests among the ended ones; 0 if too few have ended."""
         ended = self.unserved + self.served
-        return self.unserved / ended if ended >= LEAST else 0.0
+        return self.unserved / ended if ended >= MIN_REQUESTS else 0.0
 
     @property
-    def rate(self) -> float:
-        """Fresh requests a second."""
-        return self.fresh * SECOND / FADE_NS
-
-    def _fade(self, since_ns: int) -> None:
-        # Whoever counts looks as soon as LOOK_NS have gone by, so the new ones came within so long of the last look.
-        old = math.exp(-since_ns / FADE_NS)
-        new = math.exp(-max(0, since_ns - LOOK_NS // 2) / FADE_NS)
-        self.fresh = self.fresh * old + self._fresh * new
-        self.again = self.again * old + self._again * new
-        self.served = self.served * old + self._served * new
-        self.unserved = self.unserved * old + self._unserved * new
-        self._fresh = self._again = self._served = self._unserved = 0
-
-    def look(self, now: int, since_ns: int) -> bool:
-        """Tell the phase anew, so long after the last time; did it change?"""
-        self._fade(since_ns)
-        if self.phase is Phase.CALM and self.again < LEAST * ENTER:
-            return False  # most looks end here
-        was, retries, unmet = self.phase, self.retries, self.unmet
+    def new_requests_per_s(self) -> float:
+        """New requests per second, without retries."""
+        return self.new_requests * SECOND / DECAY_NS
+
+    def _decay(self, since_ns: int) -> None:
+        # update() is called as soon as UPDATE_INTERVAL_NS have passed, so the new ones arrived within that interval.
+        old_weight = math.exp(-since_ns / DECAY_NS)
+        new_weight = math.exp(-max(0, since_ns - UPDATE_INTERVAL_NS // 2) / DECAY_NS)
+        self.new_requests = self.new_requests * old_weight + self._added_new_requests * new_weight
+        self.retries = self.retries * old_weight + self._added_retries * new_weight
+        self.served = self.served * old_weight + self._added_served * new_weight
+        self.unserved = self.unserved * old_weight + self._added_unserved * new_weight
+        self._added_new_requests = self._added_retries = self._added_served = self._added_unserved = 0
+
+    def update(self, now: int, since_ns: int) -> bool:
+        """Update the phase, `since_ns` after the last update; return whether it changed."""
+        self._decay(since_ns)
+        if self.phase is Phase.CALM and self.retries < MIN_REQUESTS * STORM_RETRY_SHARE:
+            return False  # most updates end here
+        before, retry_share, unserved_share = self.phase, self.retry_share, self.unserved_share
         if self.phase is Phase.STORM:
-            if retries < STAY or unmet < STAY:
-                self._turn(Phase.EBB, now)
-        elif unmet >= UNSERVED and retries >= (ENTER if self.phase is Phase.CALM else AGAIN):
-            self._turn(Phase.STORM, now)
-        elif self.phase is Phase.EBB and now - self.since_ns >= CALM_AFTER_NS:
-            self._turn(Phase.CALM, now)
-        return self.phase is not was
-
-    def _turn(self, phase: Phase, now: int) -> None:
-        self.phase, self.since_ns = phase, now
+            if retry_share < EXIT_SHARE or unserved_share < EXIT_SHARE:
+                self._set_phase(Phase.SUBSIDING, now)
+        elif unserved_share >= STORM_UNSERVED_SHARE and retry_share >= (
+            STORM_RETRY_SHARE if self.phase is Phase.CALM else SECOND_WAVE_RETRY_SHARE
+        ):
+            self._set_phase(Phase.STORM, now)
+        elif self.phase is Phase.SUBSIDING and now - self.phase_since_ns >= CALM_AFTER_NS:
+            self._set_phase(Phase.CALM, now)
+        return self.phase is not before
+
+    def _set_phase(self, phase: Phase, now: int) -> None:
+        self.phase, self.phase_since_ns = phase, now
--- a/lanemux/storm/restarts.py
+++ b/lanemux/storm/restarts.py
@@ -1,8 +1,8 @@
-"""Upstreams that came back before the list said so: they are cold, whatever the list says. No I/O.
+"""Detects upstreams that restarted before the upstream list reports it: they are cold. No I/O.
 
-A process that ended refuses connections; one that answers again afterwards has started anew. One refusal tells it: most
-balancers meet a dead upstream once, leave it alone, and come back when it is there again. Until the list tells of
-that start, its entry is given a start of now. The table holds the list's entries and is bounded by the list.
+An ended process refuses connections; one that answers afterwards has restarted. One refusal is enough evidence, since
+most balancers meet a dead upstream once, then avoid it and return when it is up again. Until the list reports the
+restart, the upstream's entry gets the time of detection as its start. The table is bounded by the list's size.
 """
 
 from __future__ import annotations
@@ -12,72 +12,74 @@
 from lanemux import interface as api
 
 MS = 1_000_000
-SPAN_NS = 50 * MS  # from a refusal to the answer, at the least: a connection that broke by chance is tried again sooner
-COMMON, LEAST = 0.7, 3  # more of the list than this refuse at once: that is this proxy, out of descriptors, not they
-SILENT = (api.Result.MOOT, api.Result.CANCELLED, api.Result.TIMEOUT, api.Result.RESET)  # they say neither
+MIN_DOWNTIME_NS = 50 * MS  # least time from refusal to answer; a connection that failed by chance is retried sooner
+# If this share of the list, and at least so many, refuse at once, the cause is local: no descriptors are left here.
+LOCAL_FAULT_SHARE, LOCAL_FAULT_MIN = 0.7, 3
+# Show neither a stop nor a start.
+INCONCLUSIVE = (api.Result.MOOT, api.Result.CANCELLED, api.Result.TIMEOUT, api.Result.RESET)
 
 
 @dataclass(slots=True)
-class Known:
-    """What is known of one upstream's starts."""
+class UpstreamRecord:
+    """The latest list entry of one upstream and the signs of a restart."""
 
-    told: api.Upstream  # the list's word
-    refused_ns: int = 0  # its first connection that did not come up, and no answer since; 0: none
-    start_ns: int = 0  # found out here; 0: the list's word holds
+    entry: api.Upstream  # as last listed
+    refused_ns: int = 0  # first failed connection since its last answer; 0: none
+    detected_start_ns: int = 0  # detected here; 0: the list's start time applies
 
 
 class RestartDetector:
-    """The list as told, with the starts that were found out."""
+    """Adds the detected restarts to the updates of the upstream list."""
 
     def __init__(self) -> None:
-        self._known: dict[int, Known] = {}
-        self.suspects: set[int] = set()  # that refused a connection, and have not answered since
+        self._records: dict[int, UpstreamRecord] = {}
+        self.suspects: set[int] = set()  # refused a connection and have not answered since
 
-    def listed(self, update: api.ListUpdate) -> api.ListUpdate:
-        """The same news, where a start that was found out stays until the list tells of one itself."""
+    def amend_update(self, update: api.ListUpdate) -> api.ListUpdate:
+        """Return the update with detected starts, each kept until the list itself reports a new start."""
         if update.kind in (api.ListKind.FULL, api.ListKind.CACHED):
             named = {entry.id for entry in update.upstreams}
-            for number in [n for n in self._known if n not in named]:
+            for number in [n for n in self._records if n not in named]:
                 self._forget(number)
-        return update._replace(upstreams=[self._entered(entry) for entry in update.upstreams])
+        return update._replace(upstreams=[self._amend_entry(entry) for entry in update.upstreams])
 
     def _forget(self, upstream: int) -> None:
-        self._known.pop(upstream, None)
+        self._records.pop(upstream, None)
         self.suspects.discard(upstream)
 
-    def _entered(self, entry: api.Upstream) -> api.Upstream:
+    def _amend_entry(self, entry: api.Upstream) -> api.Upstream:
         if entry.state is api.State.GONE:
             self._forget(entry.id)
             return entry
-        known = self._known.get(entry.id)
-        if known is None:
-            self._known[entry.id] = Known(entry)
+        record = self._records.get(entry.id)
+        if record is None:
+            self._records[entry.id] = UpstreamRecord(entry)
             return entry
-        if entry.started_ns != known.told.started_ns:  # the list knows of a start: its word is exact
-            known.start_ns = known.refused_ns = 0
+        if entry.started_ns != record.entry.started_ns:  # the list reports a start; its time is exact
+            record.detected_start_ns = record.refused_ns = 0
             self.suspects.discard(entry.id)
-        known.told = entry
-        return entry._replace(started_ns=known.start_ns) if known.start_ns else entry
+        record.entry = entry
+        return entry._replace(started_ns=record.detected_start_ns) if record.detected_start_ns else entry
 
     def observe(self, upstream: int, result: api.Result, now: int) -> api.Upstream | None:
-        """An attempt or a look has ended; the entry as it is now, if that shows a start the list has not told of."""
-        known = self._known.get(upstream)
-        if known is None or result in SILENT:
+        """Record the end of an attempt or probe; return the changed entry if it reveals a restart not yet listed."""
+        record = self._records.get(upstream)
+        if record is None or result in INCONCLUSIVE:
             return None
         if result is api.Result.CONNECT_FAILED:
-            self._refused(upstream, known, now)
+            self._record_refusal(upstream, record, now)
             return None
-        since, known.refused_ns = known.refused_ns, 0
+        refused_ns, record.refused_ns = record.refused_ns, 0
         self.suspects.discard(upstream)
-        if not since or now - since < SPAN_NS:
+        if not refused_ns or now - refused_ns < MIN_DOWNTIME_NS:
             return None
-        known.start_ns = now
-        return known.told._replace(started_ns=now)
+        record.detected_start_ns = now
+        return record.entry._replace(started_ns=now)
 
-    def _refused(self, upstream: int, known: Known, now: int) -> None:
-        known.refused_ns = known.refused_ns or now
+    def _record_refusal(self, upstream: int, record: UpstreamRecord, now: int) -> None:
+        record.refused_ns = record.refused_ns or now
         self.suspects.add(upstream)
-        if len(self.suspects) >= max(LEAST, COMMON * len(self._known)):
+        if len(self.suspects) >= max(LOCAL_FAULT_MIN, LOCAL_FAULT_SHARE * len(self._records)):
             for number in self.suspects:
-                self._known[number].refused_ns = 0
+                self._records[number].refused_ns = 0
             self.suspects.clear()
--- a/lanemux/storm/retry_schedule.py
+++ b/lanemux/storm/retry_schedule.py
@@ -1,8 +1,8 @@
-"""When refused clients are to come back: evenly, at what can be borne beside fresh work. No I/O.
+"""Chooses Retry-After times of refused requests: spread evenly, at the rate that new requests leave free. No I/O.
 
-A calendar of slots offset counts who was told to come when. A refused client is given the first slot with room; what
-priority less looks for one further out, so that the near ones stay free. In no slot are there more than are borne,
-unless all up to the longest wait are full: then the wait is drawn evenly from all of them.
+The schedule counts the retries assigned to each future time slot. A refused client gets the first slot with free
+capacity; requests of low priority start the search further out, which keeps the near slots free. No slot gets more
+retries than can be served, unless all slots up to the longest wait are full: then the wait is drawn uniformly.
 """
 
 from __future__ import annotations
@@ -11,63 +11,63 @@
 import random
 
 SECOND = 1_000_000_000
-SLOTS = 64  # of the calendar: the work to find one is bounded by it
-FIRST = 2  # the first slot that is given: nobody is told to come at once
-SPARE_LEAST = 0.25  # of what is borne is kept for returns, however much fresh work there is
-BEHIND = 0.5  # of the full part of the calendar is passed over by what priority least
+SLOTS = 64  # in the schedule; bounds the work to find one
+FIRST_SLOT = 2  # first slot assigned; no client is told to retry at once
+MIN_RETRY_SHARE = 0.25  # of the capacity that is reserved for retries, however many new requests there are
+MAX_SKIPPED_SHARE = 0.5  # share of the full slots by which the lowest priority starts later
 
 
-class Returns:
-    """The calendar of one balancer."""
+class RetrySchedule:
+    """The retry schedule of one balancer."""
 
-    def __init__(self, longest_ns: int, whole_seconds: bool, rng: random.Random) -> None:
-        """`whole_seconds`: waits are told as RFC 9110 (10.2.3) has them, in whole seconds, 1 at the least."""
-        self.longest_ns = max(SLOTS, longest_ns)
-        self._slot_ns = self.longest_ns // SLOTS
-        self._whole = whole_seconds
+    def __init__(self, max_wait_ns: int, whole_seconds: bool, rng: random.Random) -> None:
+        """`whole_seconds`: waits are whole seconds, at least 1, as RFC 9110 (10.2.3) defines Retry-After."""
+        self.max_wait_ns = max(SLOTS, max_wait_ns)
+        self._slot_ns = self.max_wait_ns // SLOTS
+        self._whole_seconds = whole_seconds
         self._rng = rng
-        self._scheduled = [0.0] * SLOTS  # how many come back in each slot, around from that of now
-        self._current_slot = 0  # the number of now's slot
-        self.borne = math.inf  # returns a second
+        self._scheduled = [0.0] * SLOTS  # retries per slot, a ring buffer indexed by slot number
+        self._current_slot = 0  # number of the slot that contains now
+        self.retries_per_s = math.inf  # capacity for retries
 
-    def bear(self, capacity: float, fresh: float) -> None:
-        """What can be served a second, and how much of it fresh work takes."""
-        self.borne = max(SPARE_LEAST * capacity, capacity - fresh)
+    def set_load(self, capacity_per_s: float, new_per_s: float) -> None:
+        """Set the requests that can be served per second, and the new ones that arrive per second."""
+        self.retries_per_s = max(MIN_RETRY_SHARE * capacity_per_s, capacity_per_s - new_per_s)
 
     def wait_ns(self, priority: float, now: int) -> int:
-        """When one that is refused now is to come back, from now; `priority` from 0 (least) to 1."""
+        """Schedule the retry of a request refused now and return its wait; `priority` is from 0 (lowest) to 1."""
         self._advance(now)
-        offset = self._find(priority)
+        offset = self._find_slot(priority)
         if offset is None:
-            offset = FIRST + int(self._rng.random() * (SLOTS - FIRST))  # all are full: evenly over all
+            offset = FIRST_SLOT + int(self._rng.random() * (SLOTS - FIRST_SLOT))  # all are full: uniform over all
         self._scheduled[(self._current_slot + offset) % SLOTS] += 1
         wait = int((offset + self._rng.random()) * self._slot_ns)
-        return self._rounded(wait)
+        return self._round(wait)
 
-    def _find(self, priority: float) -> int | None:
-        room = self.borne * self._slot_ns / SECOND
-        first = self._free(FIRST, room)
+    def _find_slot(self, priority: float) -> int | None:
+        slot_capacity = self.retries_per_s * self._slot_ns / SECOND
+        first = self._first_free_slot(FIRST_SLOT, slot_capacity)
         if first is None:
             return None
-        # Between slots of less than one return each, chance gives the fraction.
-        return self._free(first + int(BEHIND * (1 - priority) * first), room) or first
+        # If a slot has capacity for less than one retry, a random draw applies the fraction.
+        return self._first_free_slot(first + int(MAX_SKIPPED_SHARE * (1 - priority) * first), slot_capacity) or first
 
-    def _free(self, start: int, room: float) -> int | None:
+    def _first_free_slot(self, start: int, slot_capacity: float) -> int | None:
         for offset in range(start, SLOTS):
-            left = room - self._scheduled[(self._current_slot + offset) % SLOTS]
+            left = slot_capacity - self._scheduled[(self._current_slot + offset) % SLOTS]
             if left >= 1 or (left > 0 and self._rng.random() < left):
                 return offset
         return None
 
     def _advance(self, now: int) -> None:
         slot = now // self._slot_ns
-        for passed in range(self._current_slot, min(slot, self._current_slot + SLOTS)):
-            self._scheduled[passed % SLOTS] = 0.0
+        for expired in range(self._current_slot, min(slot, self._current_slot + SLOTS)):
+            self._scheduled[expired % SLOTS] = 0.0
         self._current_slot = slot
 
-    def _rounded(self, wait_ns: int) -> int:
-        if not self._whole:
-            return min(wait_ns, self.longest_ns)
-        # The fraction is the chance of the next second: the mean stays, and clients refused together part.
+    def _round(self, wait_ns: int) -> int:
+        if not self._whole_seconds:
+            return min(wait_ns, self.max_wait_ns)
+        # Round up with the probability of the fraction: keeps the mean and separates clients refused together.
         seconds = int(wait_ns / SECOND + self._rng.random())
-        return max(1, min(seconds, self.longest_ns // SECOND)) * SECOND
+        return max(1, min(seconds, self.max_wait_ns // SECOND)) * SECOND
--- a/lanemux/storm/setup.py
+++ b/lanemux/storm/setup.py
@@ -1,4 +1,4 @@
-"""From the operators' section to what a balancer runs with."""
+"""Builds the storm module and connection admission from the [storm] section of the operators' file."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from lanemux.net.daemon import MakeModule
     from lanemux.net.node import MakeConnectionAdmission
-    from lanemux.operators import StormSection as Told
+    from lanemux.operators import StormSection
 
 MS = 1_000_000
 
 
-def plan(told: Told) -> StormOptions:
-    """The section as the module takes it."""
-    return StormOptions(told.longest_wait_ms * MS, told.whole_seconds)
+def module_options(section: StormSection) -> StormOptions:
+    """Convert the section to the options of the storm module."""
+    return StormOptions(section.longest_wait_ms * MS, section.whole_seconds)
 
 
-def make(told: Told) -> tuple[MakeModule, MakeConnectionAdmission]:
-    """The decisions with the storm's module round them, and what admits connections."""
-    made = plan(told)
+def make(section: StormSection) -> tuple[MakeModule, MakeConnectionAdmission]:
+    """Return the factories of the decision module, wrapped by the storm module, and of connection admission."""
+    options = module_options(section)
 
-    def module(settings: api.Settings, seed: int, now: int) -> StormModule:
-        return StormModule(Balancer(settings, seed, now), settings, made, seed, now)
+    def make_module(settings: api.Settings, seed: int, now: int) -> StormModule:
+        return StormModule(Balancer(settings, seed, now), settings, options, seed, now)
 
-    return module, lambda places: ConnectionAdmission(places, told.source_part)
+    return make_module, lambda capacity: ConnectionAdmission(capacity, section.source_part)
--- a/tests/storm/test_floods.py
+++ b/tests/storm/test_floods.py
@@ -1,4 +1,4 @@
-"""Connections that come by the thousand before any request does, over loopback sockets."""
+"""Floods of connections that precede any request, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from tests.sockets import HOST, Client, Script, node, request, run, until
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
-PLACES = 32  # (96 - 32) / 2 descriptors
+CONNECTION_SLOTS = 32  # (96 - 32) / 2 descriptors
 
 
 def refuses(event: api.Event) -> list[api.Action]:
     return [api.Refuse(event.request, 1_000_000_000)] if isinstance(event, api.Arrival) else []
 
 
-def admission(places: int) -> ConnectionAdmission:
-    return ConnectionAdmission(places, 0.5)
+def admission(capacity: int) -> ConnectionAdmission:
+    return ConnectionAdmission(capacity, 0.5)
 
 
 @contextlib.contextmanager
 def silent(port: int, count: int, source: str) -> Iterator[list[socket.socket]]:
-    """So many connections from one address, on which nothing is said."""
+    """Open `count` connections from one address that send nothing."""
     opened = []
     for _ in range(count):
         one = socket.socket()
@@ -42,7 +42,7 @@
 
 
 def closed(one: socket.socket) -> bool:
-    """The balancer has ended it."""
+    """Whether the balancer has closed it."""
     try:
         return one.recv(1) == b""
     except BlockingIOError:
@@ -51,36 +51,36 @@
         return True
 
 
-def test_established_clients_are_served_through_a_flood_and_places_are_bounded() -> None:
+def test_established_clients_are_served_through_a_flood_and_slots_are_limited() -> None:
     async def test() -> None:
         async with node(Script(refuses), sockets=96, admission=admission) as client:
             server = client.node.server
             assert (await client.ask(READY)).status == 200
             with silent(client.port, 600, "127.0.0.9"):
-                for least in (0, 20, 40, 200, 400, 601):  # on one connection, all through it
+                for least in (0, 20, 40, 200, 400, 601):  # on one connection, throughout the flood
                     while server._entered < least:
                         await asyncio.sleep(0)
                     assert (await client.ask(request())).status == 503
-                    assert len(server._connections) <= PLACES
-                assert (await client.another().ask(READY)).status == 200  # a new one comes through as well
+                    assert len(server._connections) <= CONNECTION_SLOTS
+                assert (await client.another().ask(READY)).status == 200  # a new connection is served too
             await until(lambda: not server._pending and len(server._connections) <= 2)
 
     run(test())
 
 
-def test_one_source_does_not_take_the_places_of_others() -> None:
+def test_one_source_does_not_take_the_slots_of_others() -> None:
     async def test() -> None:
         async with node(Script(refuses), sockets=96, admission=admission) as client:
             server = client.node.server
             with silent(client.port, 10, "127.0.0.8") as few, silent(client.port, 100, "127.0.0.9") as many:
                 await until(lambda: server._entered >= 110)
                 assert not any(closed(one) for one in few)
-                assert sum(closed(one) for one in many) >= 100 - PLACES + 10
+                assert sum(closed(one) for one in many) >= 100 - CONNECTION_SLOTS + 10
 
     run(test())
 
 
-def test_a_silent_connection_costs_no_protocol_and_is_closed_in_time() -> None:
+def test_silent_connection_creates_no_protocol_and_times_out() -> None:
     async def test() -> None:
         async with node(Script(refuses), admission=admission) as client:
             server = client.node.server
@@ -96,7 +96,7 @@
     run(test())
 
 
-def test_what_is_said_in_pieces_and_by_one_that_goes_is_met_as_ever() -> None:
+def test_partial_requests_and_disconnects_are_handled_as_usual() -> None:
     async def test() -> None:
         async with node(Script(refuses), admission=admission) as client:
             server = client.node.server
@@ -113,7 +113,7 @@
     run(test())
 
 
-def test_a_drain_answers_what_waits_in_the_lobby() -> None:
+def test_drain_answers_connections_that_wait_for_admission() -> None:
     async def test() -> None:
         async with node(Script(refuses), admission=admission) as client:
             with silent(client.port, 5, "127.0.0.9"):
--- a/tests/storm/test_returns.py
+++ b/tests/storm/test_returns.py
@@ -1,4 +1,4 @@
-"""When refused clients are told to come back."""
+"""The retry schedule of refused requests."""
 
 from __future__ import annotations
 
@@ -7,70 +7,70 @@
 
 import pytest
 
-from lanemux.storm.retry_schedule import Returns
+from lanemux.storm.retry_schedule import RetrySchedule
 
 MS = 1_000_000
 SECOND = 1000 * MS
 
 
 def mass_refusal(
-    count: int, capacity: float, fresh: float, matters: float = 1.0, longest: int = 2 * SECOND
+    count: int, capacity: float, new_per_s: float, priority: float = 1.0, max_wait: int = 2 * SECOND
 ) -> Counter[int]:
-    """So many refused in one instant: how many come back in each 100 ms."""
-    returns = Returns(longest, False, random.Random(1))
-    returns.bear(capacity, fresh)
+    """Refuse `count` requests at one instant; return the number of retries in each 100 ms."""
+    schedule = RetrySchedule(max_wait, False, random.Random(1))
+    schedule.set_load(capacity, new_per_s)
     now = 5 * SECOND
-    return Counter((now + returns.wait_ns(matters, now)) // (100 * MS) for _ in range(count))
+    return Counter((now + schedule.wait_ns(priority, now)) // (100 * MS) for _ in range(count))
 
 
-def test_returns_come_at_what_is_borne() -> None:
+def test_retries_are_scheduled_at_the_free_rate() -> None:
     bins = mass_refusal(60, 100, 50)
-    assert max(bins.values()) <= 9  # 50 a second are 5 in 100 ms; slots do not lie along the bins
-    assert max(bins) - min(bins) <= 14  # and no later than they must: 60 at 50 a second
+    assert max(bins.values()) <= 9  # 50 a second are 5 in 100 ms; slots are not aligned with the bins
+    assert max(bins) - min(bins) <= 14  # and no later than necessary: 60 at 50 a second
 
 
-def test_what_cannot_be_borne_in_time_is_spread_over_all_of_it() -> None:
+def test_excess_retries_are_spread_over_the_whole_schedule() -> None:
     bins = mass_refusal(2000, 100, 100)
     assert max(bins.values()) < 2.0 * 2000 / 20
     assert len(bins) >= 19
 
 
-def test_some_room_is_left_for_returns_beside_any_fresh_work() -> None:
+def test_some_capacity_is_reserved_for_retries() -> None:
     assert sum(mass_refusal(20, 100, 1000).values()) == 20
-    returns = Returns(2 * SECOND, False, random.Random(1))
-    returns.bear(100, 1000)
-    assert returns.borne == 25
+    schedule = RetrySchedule(2 * SECOND, False, random.Random(1))
+    schedule.set_load(100, 1000)
+    assert schedule.retries_per_s == 25
 
 
-def test_what_matters_comes_back_sooner() -> None:
-    returns = Returns(2 * SECOND, False, random.Random(1))
-    returns.bear(100, 0)
+def test_higher_priority_retries_sooner() -> None:
+    schedule = RetrySchedule(2 * SECOND, False, random.Random(1))
+    schedule.set_load(100, 0)
     waits: dict[float, list[int]] = {0.0: [], 1.0: []}
     for n in range(100):
-        matters = float(n % 2)
-        waits[matters].append(returns.wait_ns(matters, SECOND))
+        priority = float(n % 2)
+        waits[priority].append(schedule.wait_ns(priority, SECOND))
     assert sum(waits[1.0]) < 0.8 * sum(waits[0.0])
 
 
-def test_time_frees_the_calendar() -> None:
-    returns = Returns(2 * SECOND, False, random.Random(1))
-    returns.bear(100, 0)
-    late = [returns.wait_ns(1.0, SECOND) for _ in range(150)][-1]
-    assert returns.wait_ns(1.0, 4 * SECOND) < late / 4
+def test_passing_time_frees_slots() -> None:
+    schedule = RetrySchedule(2 * SECOND, False, random.Random(1))
+    schedule.set_load(100, 0)
+    late = [schedule.wait_ns(1.0, SECOND) for _ in range(150)][-1]
+    assert schedule.wait_ns(1.0, 4 * SECOND) < late / 4
 
 
-def test_whole_seconds_are_told_apart_and_keep_the_mean() -> None:
-    returns = Returns(8 * SECOND, True, random.Random(1))
-    returns.bear(40, 20)
-    waits = [returns.wait_ns(1.0, SECOND) for _ in range(100)]
+def test_whole_seconds_are_spread_and_keep_the_mean() -> None:
+    schedule = RetrySchedule(8 * SECOND, True, random.Random(1))
+    schedule.set_load(40, 20)
+    waits = [schedule.wait_ns(1.0, SECOND) for _ in range(100)]
     assert all(w % SECOND == 0 and SECOND <= w <= 8 * SECOND for w in waits)
     assert len(set(waits)) >= 5  # 100 at 20 a second
-    assert max(Counter(waits).values()) <= 40  # the first second has those of half a one more
+    assert max(Counter(waits).values()) <= 40  # rounding adds half a second's worth to the first
 
 
-@pytest.mark.parametrize("longest", [0, 1, 40 * MS, 600 * SECOND])
-def test_no_wait_is_longer_than_allowed(longest: int) -> None:
-    returns = Returns(longest, False, random.Random(1))
+@pytest.mark.parametrize("max_wait", [0, 1, 40 * MS, 600 * SECOND])
+def test_waits_respect_the_maximum(max_wait: int) -> None:
+    schedule = RetrySchedule(max_wait, False, random.Random(1))
     for now in range(0, 3 * SECOND, 100 * MS):
-        returns.bear(1, 100)
-        assert all(0 < returns.wait_ns(m, now) <= max(64, longest) for m in (0.0, 0.5, 1.0) for _ in range(50))
+        schedule.set_load(1, 100)
+        assert all(0 < schedule.wait_ns(m, now) <= max(64, max_wait) for m in (0.0, 0.5, 1.0) for _ in range(50))
