--- a/bench/programs/etcd_node.py
+++ b/bench/programs/etcd_node.py
@@ -19,7 +19,7 @@
 from lanemux.cli import _source
 from lanemux.net import daemon
 from lanemux.net.node import Node
-from lanemux.net.reload import Lists
+from lanemux.net.reload import ListSourceSetting
 from lanemux.net.upstream_set import UpstreamSet
 from lanemux.operators import load
 
@@ -28,7 +28,7 @@
 stood: list[tuple[int, int]] = []  # (when, for how long the loop did not come round)
 took: list[int] = []  # nanoseconds of the loop for each slice
 passes: list[tuple[int, int]] = []  # (generation, how long)
-listed, start = UpstreamSet.listed, Node.start
+listed, start = UpstreamSet.apply_listing, Node.start
 
 
 def timed(self: Any, listing: Any) -> None:
@@ -63,8 +63,8 @@
 
 
 gc.callbacks.append(collected)
-UpstreamSet.listed = timed  # type: ignore[method-assign]
+UpstreamSet.apply_listing = timed  # type: ignore[method-assign]
 Node.start = watched  # type: ignore[method-assign]
-status = daemon.main(Lists(lambda: _source(load(os.environ["LANEMUX_OPERATORS"]))))
+status = daemon.main(ListSourceSetting(lambda: _source(load(os.environ["LANEMUX_OPERATORS"]))))
 Path(sys.argv[1]).write_text(json.dumps({"late": late, "stood": stood, "took": took, "passes": passes}))
 sys.exit(status)
--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -120,7 +120,7 @@
     import logging
 
     from lanemux.net.daemon import main
-    from lanemux.net.reload import Lists
+    from lanemux.net.reload import ListSourceSetting
     from lanemux.net.startup import Interrupted
     from lanemux.operators import load
     from lanemux.validation import ValidationError
@@ -136,7 +136,7 @@
 
     try:
         first = _load_when_readable(options.operators)
-        lists = Lists(read)
+        lists = ListSourceSetting(read)
     except ValidationError as error:
         return _faults(error.faults)
     except Interrupted:
--- a/lanemux/net/daemon.py
+++ b/lanemux/net/daemon.py
@@ -22,16 +22,16 @@
 from lanemux.net.decisions import Module
 from lanemux.net.log_limit import LogRateLimit
 from lanemux.net.node import MakeConnectionAdmission, Node
-from lanemux.net.reload import Lists, Reloader
+from lanemux.net.reload import ListSourceSetting, Reloader
 from lanemux.net.stages import Stages
 from lanemux.net.startup import Interrupted, wait_for
 from lanemux.policy import Balancer
 
 log = logging.getLogger(__name__)
 
-REST_MAX_S = 1.0  # with little of a processor, serving slowly beats not serving
+MAX_READINESS_DELAY_S = 1.0  # with little of a processor, serving slowly beats not serving
 STANDING_S = 1.0
-STOP_LATE_S = 0.15  # a stop may come so long after the time was spent
+THROTTLE_LAG_S = 0.15  # a stop may come so long after the time was spent
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 HANDLED_SIGNALS = (*END_SIGNALS, signal.SIGHUP)  # blocked while there is nothing that could handle them
 
@@ -55,22 +55,22 @@
 
 
 @dataclass
-class EndRequest:
+class StopRequest:
     """Whether a signal has asked the process to end."""
 
     made: bool = False
 
 
-def rest_s(cores: float, spent_s: float) -> float:
+def readiness_delay_s(cores: float, spent_s: float) -> float:
     """How long until the processor time that the start has cost is paid for out of the share of it.
 
     Guards against saying ready on credit: a process that has overspent is stopped until it is even, and the
     first clients would wait out that stop. Harm: a restarted balancer is back some tenths of a second later;
     clients that come all the same are served."""
-    return min(REST_MAX_S, spent_s / cores + STOP_LATE_S) if cores > 0 else 0.0
+    return min(MAX_READINESS_DELAY_S, spent_s / cores + THROTTLE_LAG_S) if cores > 0 else 0.0
 
 
-def hold_signals() -> None:
+def block_signals() -> None:
     """From now on signals wait until something handles them; none is lost, and none ends the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
@@ -78,23 +78,23 @@
 async def serve(
     config: Config,
     path: str,
-    lists: Lists | None = None,
+    lists: ListSourceSetting | None = None,
     system: System | None = None,
     module: MakeModule = Balancer,
     made: Callable[[Node], None] = lambda node: None,
     admission: MakeConnectionAdmission | None = None,
     extend: MakeExtension | None = None,
     stages: Stages | None = None,
-    end_request: EndRequest | None = None,
+    stop_request: StopRequest | None = None,
 ) -> None:
     """One balancer on the running loop, until SIGTERM or SIGINT has ended it; `made` is told of its node before it
-    starts. `stages`: what the start has cost so far; `end_request` notes such a signal. Raises Unobtainable where its
+    starts. `stages`: what the start has cost so far; `stop_request` notes such a signal. Raises Unobtainable where its
     address can't be had at all."""
     system = system or Machine()
     stages = stages or Stages(system)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    request = end_request or EndRequest()
+    request = stop_request or StopRequest()
 
     def end() -> None:
         request.made = True
@@ -102,7 +102,7 @@
 
     for number in END_SIGNALS:
         loop.add_signal_handler(number, end)
-    source = lists.now if lists is not None else None
+    source = lists.current if lists is not None else None
     node = Node(config, module(config.settings, config.seed, now_ns()), source, system, admission)
     if isinstance(loop, EventLoop):
         loop.counter = node.tally
@@ -115,7 +115,7 @@
     try:
         if extension is not None:
             extension.start()
-        if await _start(node, rest_s(config.cores, system.spent_s()), stop):
+        if await _start(node, readiness_delay_s(config.cores, system.spent_s()), stop):
             stages.passed("list and sockets")
             log.info(
                 "%s: started: %s; %d balancers, %d upstreams",
@@ -191,7 +191,7 @@
 
 
 def main(
-    lists: Lists | None = None,
+    lists: ListSourceSetting | None = None,
     module: MakeModule = Balancer,
     admission: MakeConnectionAdmission | None = None,
     extend: MakeExtension | None = None,
@@ -200,13 +200,13 @@
 ) -> int:
     """One balancer until a signal ends it; its list is platform discovery's unless the operators say otherwise."""
     _log_to_standard_error(level)
-    hold_signals()
+    block_signals()
     system = Machine()
     stages = Stages(system)
     stages.passed("imports")
     path = os.environ.get("RELAY_CONFIG")
 
-    end_request = EndRequest()
+    stop_request = StopRequest()
 
     async def run(config: Config) -> None:
         try:
@@ -219,15 +219,15 @@
                 admission=admission,
                 extend=extend,
                 stages=stages,
-                end_request=end_request,
+                stop_request=stop_request,
             )
         finally:
-            hold_signals()  # what comes while the process ends waits for nobody
+            block_signals()  # what comes while the process ends waits for nobody
 
     try:
         config = _read_configuration(path, system)
         stages.passed("configuration")
-        return _run_until_ended(lambda: run(config), config.name, system, end_request)
+        return _run_until_ended(lambda: run(config), config.name, system, stop_request)
     except Interrupted:
         log.info("ended before it had started")
         return 0
@@ -255,7 +255,7 @@
 
 
 def _run_until_ended(
-    run: Callable[[], Coroutine[None, None, None]], name: str, system: System, end_request: EndRequest
+    run: Callable[[], Coroutine[None, None, None]], name: str, system: System, stop_request: StopRequest
 ) -> int:
     """Run one balancer, and again where a fault of the program ended it without being told to; gives the status."""
     backoff = Backoff()
@@ -268,7 +268,7 @@
             raise Unobtainable(f"{name}: {error}") from error
         except Exception:
             log.exception("%s: failed", name)
-        if end_request.made or system.told_to_end():
+        if stop_request.made or system.told_to_end():
             return 0
         log.warning("%s: starts anew", name)
         system.sleep(backoff.next_s())
--- a/lanemux/net/decisions.py
+++ b/lanemux/net/decisions.py
@@ -26,7 +26,7 @@
         """Why it does what it does, in figures."""
 
 
-class Decisions:
+class ModuleRunner:
     """The module, and what is true where it has failed."""
 
     def __init__(self, module: Module, facts: Callable[[int], list[api.Event]]) -> None:
--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -19,14 +19,14 @@
 
 LIST_PATH = "/registry/instances"
 # Of a list: 4,096 rows of 1 KiB, which no row takes, indented and with a long name; 20,000 as discovery writes them.
-MAX_LIST = 4096 * 1024  # bytes
+MAX_LIST_BYTES = 4096 * 1024  # bytes
 # How long a watch call may wait. Silence for longer shows that it is lost, on a connection that has died
 # unseen or at a discovery that is down. What a lost call would have told counts as told some seconds
 # later all the same, so it must be found out before. An agent on this machine answers at no cost, an
 # asked one does not.
 AGENT_WAIT_MS = 2_000
 ASKED_WAIT_MS = 10_000
-OVERDUE_S = 1.0  # beyond that, and for an answer that waits for nothing
+RESPONSE_MARGIN_S = 1.0  # beyond that, and for an answer that waits for nothing
 # A discovery that answers at once must not be asked without pause, whatever it answers: the next call waits so long,
 # longer each time that comes at once again. 200 ms are a new watch.
 BREATH_S, LONGEST_BREATH_S = 0.02, 0.15
@@ -45,19 +45,19 @@
     return Listing(version, whole, membership.take(raw["hosts"], whole, heard_ns, current), told_ns=heard_ns)
 
 
-class Source:
+class RegistryClient:
     """One address of discovery, and the calls to it."""
 
     def __init__(self, address: Address, membership: Membership) -> None:
         self.address = address
-        self._pool = Pool(Hub(2, 2.0, 0.0, MAX_LIST), address)
+        self._pool = Pool(Hub(2, 2.0, 0.0, MAX_LIST_BYTES), address)
         self._host = f"{address[0]}:{address[1]}".encode()
         self._membership = membership
 
     def get(self, query: str, wait_s: float, done: Callable[[Listing | None], None]) -> Exchange:
         data = write_request(b"GET", (LIST_PATH + query).encode(), [(b"Host", self._host)])
         return self._pool.exchange(
-            data, wait_s + OVERDUE_S, lambda result, response: done(self._read(result, response))
+            data, wait_s + RESPONSE_MARGIN_S, lambda result, response: done(self._read(result, response))
         )
 
     def _read(self, result: api.Result, response: Message | None) -> Listing | None:
@@ -84,14 +84,14 @@
         self, address: Address, membership: Membership, pushed: bool, rng: random.Random, heard: Heard
     ) -> None:
         self._membership = membership
-        self._source = Source(address, membership)
-        self._successor: Source | None = None  # the new address, until it has told the whole list
+        self._client = RegistryClient(address, membership)
+        self._next_client: RegistryClient | None = None  # the new address, until it has told the whole list
         self._pushed = pushed
         self._rng = rng
         self._heard = heard
         self._version: int | None = None
         self._watching = False
-        self._call: Exchange | None = None
+        self._watch_call: Exchange | None = None
         self._fetch: Exchange | None = None
         self._handover: Exchange | None = None  # the call to the successor
         self._retry: asyncio.TimerHandle | None = None
@@ -107,25 +107,25 @@
     def watch(self) -> None:
         """Ask for what is newer than what is known; a call that is out already serves."""
         self._watching = True
-        if self._call is not None:
+        if self._watch_call is not None:
             return
         self._cancel_retry()
         self._asked_s = asyncio.get_running_loop().time()
         wait_ms = AGENT_WAIT_MS if self._pushed else ASKED_WAIT_MS
         query = "" if self._version is None else f"?after={self._version}&wait_ms={wait_ms}"
-        self._call = self._source.get(query, wait_ms / 1000, self._answered)
+        self._watch_call = self._client.get(query, wait_ms / 1000, self._answered)
 
     def fetch(self) -> None:
         """Ask for the whole list once."""
         if self._fetch is None:
-            self._fetch = self._source.get("", 0.0, self._fetched)
+            self._fetch = self._client.get("", 0.0, self._fetched)
 
     def unwatch(self) -> None:
         self._watching = False
         self._end_call()
 
     def _end_call(self) -> None:
-        call, self._call = self._call, None
+        call, self._watch_call = self._watch_call, None
         if call is not None:
             call.abandon()
         self._cancel_retry()
@@ -138,11 +138,11 @@
     def move(self, address: Address) -> None:
         """Go over to another address. The watch on the old one stays until the new one has answered."""
         self._forget_successor()  # of several moves in a row the last one counts
-        if address != self._source.address:
-            self._successor = Source(address, self._membership)
+        if address != self._client.address:
+            self._next_client = RegistryClient(address, self._membership)
             self._handover_failures = 0
             self._ask_successor()
-        elif self._watching and self._call is None:
+        elif self._watching and self._watch_call is None:
             self.watch()  # back to an address whose watch had ended
 
     def _forget_successor(self) -> None:
@@ -150,18 +150,18 @@
             self._handover.abandon()
         if self._handover_retry is not None:
             self._handover_retry.cancel()
-        if self._successor is not None:
-            self._successor.close()
-        self._successor = self._handover = self._handover_retry = None
+        if self._next_client is not None:
+            self._next_client.close()
+        self._next_client = self._handover = self._handover_retry = None
 
     def _ask_successor(self) -> None:
         self._handover_retry = None
-        if self._successor is not None:
-            self._handover = self._successor.get("", 0.0, self._succeeded)
+        if self._next_client is not None:
+            self._handover = self._next_client.get("", 0.0, self._succeeded)
 
     def _succeeded(self, listing: Listing | None) -> None:
         self._handover = None
-        if self._successor is None:
+        if self._next_client is None:
             return
         if listing is None or not listing.whole:
             self._handover_failures += 1
@@ -173,8 +173,8 @@
         if self._fetch is not None:  # what the whole list was asked for, this one answers
             self._fetch.abandon()
             self._fetch = None
-        self._source.close()
-        self._source, self._successor = self._successor, None
+        self._client.close()
+        self._client, self._next_client = self._next_client, None
         self._failures, self._version = 0, listing.version
         if self._watching:
             self.watch()
@@ -185,7 +185,7 @@
         self._forget_successor()
         if self._fetch is not None:
             self._fetch.abandon()
-        self._source.close()
+        self._client.close()
 
     async def stopped(self) -> None:
         """At once: its calls are no tasks."""
@@ -195,7 +195,7 @@
         self._tell(listing)
 
     def _answered(self, listing: Listing | None) -> None:
-        self._call = None
+        self._watch_call = None
         self._failures = 0 if listing is not None else self._failures + 1
         if listing is not None:
             breath_s = self._breath_s(bool(listing.entries) and listing.version != self._version)
@@ -204,7 +204,7 @@
                 self._watch_later(breath_s)
             else:
                 self.watch()  # first of all: a watch that pauses for 200 ms is a new one
-        elif self._pushed and self._successor is None:  # else the watch goes on there
+        elif self._pushed and self._next_client is None:  # else the watch goes on there
             self._watch_later(self._pause_s(self._failures))
         self._tell(listing)
 
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -16,7 +16,7 @@
 from lanemux.net.admission import ConnectionAdmission
 from lanemux.net.client_connection import ClientConnection
 from lanemux.net.config import Config
-from lanemux.net.decisions import Decisions, Module
+from lanemux.net.decisions import Module, ModuleRunner
 from lanemux.net.frontend import Frontend
 from lanemux.net.http import Headers, Message, load_report, whole_number, write_request
 from lanemux.net.peers import Peers
@@ -40,12 +40,12 @@
 SWEEP_S = 1.0
 WORDS_KEPT_S = 0.02  # a peer's message, which takes up to 33 ms on its way, waits so long to be read with others
 MAX_WORDS_KEPT = 64  # and with so many at most: what the loop holds up meanwhile is bounded
-PASSING_IDLE_NS = 15 * SECOND  # an answer on which nothing has moved for so long has no reader or no writer any more
+STREAM_IDLE_TIMEOUT_NS = 15 * SECOND  # an answer on which nothing moved for so long has no reader or writer any more
 LEAVE_S = 3.4  # after SIGTERM, whatever is still open
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class ActiveRequest:
     """A request that was taken and is not answered yet."""
 
     id: str
@@ -55,9 +55,9 @@
     class_name: str
     timer: asyncio.TimerHandle | None = None
     sends: int = 0
-    out: Exchange | None = None
-    over: bool = False
-    moved_ns: int = 0  # its answer passes in pieces, and something last moved then; 0: none does
+    exchange: Exchange | None = None
+    finished: bool = False
+    last_progress_ns: int = 0  # its answer passes in pieces, and something last moved then; 0: none does
 
 
 MakeConnectionAdmission = Callable[[int], ConnectionAdmission]  # of the number of places for connections
@@ -79,24 +79,24 @@
         limits = config.settings.limits
         self._limits = limits
         self._loop = asyncio.get_running_loop()
-        self._calls: dict[str, Call] = {}
-        self._by_client: dict[ClientConnection, Call] = {}
-        self._ids: set[bytes] = set()  # that clients gave to their open requests
+        self._active_requests: dict[str, ActiveRequest] = {}
+        self._by_client: dict[ClientConnection, ActiveRequest] = {}
+        self._active_request_ids: set[bytes] = set()  # that clients gave to their open requests
         self._count = 0
         self._closed = False
         self._events: list[api.Event] = []
         self._feeding = False
-        self._timers: dict[str, asyncio.TimerHandle] = {}  # the module's, by name
+        self._module_timers: dict[str, asyncio.TimerHandle] = {}  # the module's, by name
         self._reading: asyncio.TimerHandle | None = None  # peers' messages that wait to be read
         self._stopping = False
-        self._quiet = asyncio.Event()
-        self._sweep: asyncio.TimerHandle | None = None
+        self._drained = asyncio.Event()
+        self._sweep_timer: asyncio.TimerHandle | None = None
         room = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
         self.tally = Tally(config.settings.classes)
         self._hub = Hub(
             room, limits.connect_timeout_ns / SECOND, limits.conn_idle_ns / SECOND, stream=True, counter=self.tally
         )
-        self._passing: dict[str, Call] = {}  # whose answers pass in pieces
+        self._streaming: dict[str, ActiveRequest] = {}  # whose answers pass in pieces
         self.server = Server(self, room, system, self.tally, admission(room) if admission is not None else None)
         self.frontend = Frontend(config, self.server)
         self.upstream_set = UpstreamSet(config, self._hub, system, source, self.feed, self._call_off_waiting)
@@ -104,7 +104,7 @@
         self.port = 0  # where it listens for clients, once it does
         self._peers = Peers(config.peers, config.peers_all, config.settings.me, self._peer_message)
         self.plugins = PluginHost(self._peers.tell)
-        self._decisions = Decisions(module, self._facts)
+        self._module_runner = ModuleRunner(module, self._facts)
         probe_path = b"/stats" if config.settings.report_columns else b"/health/live"
         self._probes = Probes(self._hub, probe_path, self.feed)
 
@@ -144,13 +144,13 @@
             self.background.start("peers' address", bind)
 
     def _sweep_idle(self) -> None:
-        self._sweep = self._loop.call_later(SWEEP_S, self._sweep_idle)
+        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep_idle)
         self._hub.expire()
         self.upstream_set.sweep()
-        stale = now_ns() - PASSING_IDLE_NS
-        for call in [c for c in self._passing.values() if c.moved_ns < stale]:
-            log.info("an answer is cut: nothing of it has moved for %d s", PASSING_IDLE_NS // SECOND)
-            self._finish(call, 504)
+        stale = now_ns() - STREAM_IDLE_TIMEOUT_NS
+        for active in [c for c in self._streaming.values() if c.last_progress_ns < stale]:
+            log.info("an answer is cut: nothing of it has moved for %d s", STREAM_IDLE_TIMEOUT_NS // SECOND)
+            self._finish(active, 504)
 
     @property
     def ready(self) -> bool:
@@ -166,7 +166,7 @@
     @property
     def outstanding(self) -> int:
         """Requests taken and not ended."""
-        return len(self._calls)
+        return len(self._active_requests)
 
     @property
     def discovered(self) -> int:
@@ -176,11 +176,11 @@
     @property
     def ejected(self) -> int:
         """Listed upstreams that are avoided now: by hand, or by the decisions."""
-        return self.upstream_set.cordoned + self._decisions.avoided
+        return self.upstream_set.cordoned + self._module_runner.avoided
 
     def standing(self) -> Mapping[str, object]:
         """Why the decisions do what they do, in figures."""
-        return self._decisions.standing()
+        return self._module_runner.standing()
 
     async def drain(self) -> None:
         """A planned end: go on with what still comes, answer all of it, then close everything."""
@@ -188,12 +188,12 @@
         self._stopping = True
         self.plugins.leave()
         await self.frontend.close_in_order(end)
-        if self._calls:
-            self._quiet.clear()  # it may have been quiet before the last ones came
+        if self._active_requests:
+            self._drained.clear()  # it may have been quiet before the last ones came
             try:
-                await asyncio.wait_for(self._quiet.wait(), end - self._loop.time())
+                await asyncio.wait_for(self._drained.wait(), end - self._loop.time())
             except TimeoutError:
-                log.warning("left with %d requests open", len(self._calls))
+                log.warning("left with %d requests open", len(self._active_requests))
         await self.frontend.flush(end)
         self.close()
         await self.upstream_set.source.stopped()
@@ -203,9 +203,9 @@
     def held(self) -> dict[str, int]:
         """What is held for requests and clients, by kind: at rest, without clients, all is zero."""
         return {
-            "calls": len(self._calls),
+            "calls": len(self._active_requests),
             "clients' calls": len(self._by_client),
-            "ids": len(self._ids),
+            "ids": len(self._active_request_ids),
             "events": len(self._events),
             "probes": len(self._probes),
             "connections": self.server.held,
@@ -216,11 +216,11 @@
         """Stop everything at once; what is open fails, and nothing is begun any more."""
         self._closed = True
         self.background.stop()
-        for call in list(self._calls.values()):
-            self._finish(call, 504)
+        for active in list(self._active_requests.values()):
+            self._finish(active, 504)
         self.frontend.stop()
         self.upstream_set.stop()
-        for timer in (*self._timers.values(), self._sweep, self._reading):
+        for timer in (*self._module_timers.values(), self._sweep_timer, self._reading):
             if timer is not None:
                 timer.cancel()
         self._probes.abandon()
@@ -246,18 +246,18 @@
         try:
             while self._events:
                 batch, self._events = self._events, []
-                for action in self._decisions.of(batch):
+                for action in self._module_runner.of(batch):
                     self._carry_out_or_report(action)
         finally:
             self._feeding = False
 
     def _wake(self, name: str) -> None:
-        self._timers.pop(name, None)
+        self._module_timers.pop(name, None)
         self.feed(api.Wake(name))
 
     def _facts(self, now: int) -> list[api.Event]:
         """All that is true now, for a module that has failed."""
-        calls = {c.id: api.Held(c.sends, c.out is not None) for c in self._calls.values()}
+        calls = {c.id: api.Held(c.sends, c.exchange is not None) for c in self._active_requests.values()}
         return [api.Truth(calls), self.upstream_set.whole(now)]
 
     def _carry_out_or_report(self, action: api.Action) -> None:
@@ -275,7 +275,7 @@
             case api.Refuse():
                 self._refuse(action)
             case api.Fail():
-                self._final(action.request, 504)
+                self._finish_by_id(action.request, 504)
             case api.Cancel():
                 self._cancel(action)
             case api.Probe():
@@ -293,8 +293,8 @@
             case api.FetchList():
                 self.upstream_set.source.fetch()
             case api.SetTimer():
-                due = (self._decisions.decided_ns + action.delay_ns) / SECOND
-                self._timers[action.name] = self._loop.call_at(due, self._wake, action.name)
+                due = (self._module_runner.decided_ns + action.delay_ns) / SECOND
+                self._module_timers[action.name] = self._loop.call_at(due, self._wake, action.name)
             case api.Note():
                 log.info("module: %s", action.text)
             case _:
@@ -316,9 +316,9 @@
             client.answer(405, [(b"Allow", METHODS[cls.effect])])
         elif request.method == b"GET" and request.body:
             client.answer(400)  # an upstream reads no body there and would take it for the next request
-        elif ids[0] in self._ids:
+        elif ids[0] in self._active_request_ids:
             client.answer(409)  # whose answer would it be?
-        elif self.frontend.away or self._limits.max_open and len(self._calls) >= self._limits.max_open:
+        elif self.frontend.away or self._limits.max_open and len(self._active_requests) >= self._limits.max_open:
             self.tally.ended(name, 503)
             client.answer(503, [(b"Retry-After", FULL_RETRY_S)])
         else:
@@ -327,16 +327,16 @@
 
     def _open(self, client: ClientConnection, request: Message, name: str, deadline_ns: int) -> None:
         self._count += 1
-        self._ids.add(request.header(b"req-id"))
-        call = Call(str(self._count), client, request, deadline_ns, name)
-        self._calls[call.id] = self._by_client[client] = call
-        call.timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._out_of_time, call)
+        self._active_request_ids.add(request.header(b"req-id"))
+        active = ActiveRequest(str(self._count), client, request, deadline_ns, name)
+        self._active_requests[active.id] = self._by_client[client] = active
+        active.timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._out_of_time, active)
         cookies = (c.strip() for c in request.header(b"cookie").decode("latin-1").split(";"))
         key = next((c[5:] for c in cookies if c.startswith("user=")), "")
         cost_us = whole_number(request.header(b"req-cost")) or 0
         self.feed(
             api.Arrival(
-                call.id,
+                active.id,
                 name,
                 request.header(b"req-owner").decode("latin-1"),
                 deadline_ns - MODULE_EARLY_NS,
@@ -346,85 +346,85 @@
             )
         )
 
-    def _out_of_time(self, call: Call) -> None:
-        self._finish(call, 504)
-        self.feed(api.ClientGone(call.id))
+    def _out_of_time(self, active: ActiveRequest) -> None:
+        self._finish(active, 504)
+        self.feed(api.ClientGone(active.id))
 
     def gone(self, client: ClientConnection) -> None:
         """The client has closed its connection: nobody waits for the answer."""
-        call = self._by_client.get(client)
-        if call is not None:
-            self._drop(call)
-            self.feed(api.ClientGone(call.id))
+        active = self._by_client.get(client)
+        if active is not None:
+            self._drop(active)
+            self.feed(api.ClientGone(active.id))
 
     def _refuse(self, action: api.Refuse) -> None:
         headers = []
         if action.retry_after_ns > 0:
             headers.append((b"Retry-After", b"%.3f" % (action.retry_after_ns / SECOND)))
-        self._final(action.request, 503, headers)
+        self._finish_by_id(action.request, 503, headers)
 
-    def _final(self, request: str, status: int, headers: Headers = ()) -> None:
-        call = self._calls.get(request)
-        if call is not None:
-            self._finish(call, status, headers)
+    def _finish_by_id(self, request: str, status: int, headers: Headers = ()) -> None:
+        active = self._active_requests.get(request)
+        if active is not None:
+            self._finish(active, status, headers)
 
-    def _finish(self, call: Call, status: int, headers: Headers = (), body: bytes = b"") -> None:
+    def _finish(self, active: ActiveRequest, status: int, headers: Headers = (), body: bytes = b"") -> None:
         """The one final answer."""
-        if not call.over:
-            self._drop(call)
-            self.tally.ended(call.class_name, status)
-            if not call.moved_ns:
-                call.client.answer(status, headers, body)
+        if not active.finished:
+            self._drop(active)
+            self.tally.ended(active.class_name, status)
+            if not active.last_progress_ns:
+                active.client.answer(status, headers, body)
             elif status == 200:
-                call.client.end_answer()
+                active.client.end_answer()
             else:
-                call.client.cut()
+                active.client.cut()
 
-    def _drop(self, call: Call) -> None:
+    def _drop(self, active: ActiveRequest) -> None:
         """Forget the request and call off what is out for it."""
-        call.over = True
-        if call.timer is not None:
-            call.timer.cancel()
-        del self._calls[call.id]
-        self._passing.pop(call.id, None)
-        del self._by_client[call.client]
-        self._ids.discard(call.request.header(b"req-id"))
-        if call.out is not None:
-            call.out.finish(api.Result.CANCELLED)
-        if self._stopping and not self._calls:
-            self._quiet.set()
+        active.finished = True
+        if active.timer is not None:
+            active.timer.cancel()
+        del self._active_requests[active.id]
+        self._streaming.pop(active.id, None)
+        del self._by_client[active.client]
+        self._active_request_ids.discard(active.request.header(b"req-id"))
+        if active.exchange is not None:
+            active.exchange.finish(api.Result.CANCELLED)
+        if self._stopping and not self._active_requests:
+            self._drained.set()
 
     # -- attempts --
 
     def _send(self, action: api.Send) -> None:
         now = now_ns()
-        call = self._calls.get(action.request)
-        number = call.sends if call is not None else 0
+        active = self._active_requests.get(action.request)
+        number = active.sends if active is not None else 0
         pool = self._hub.pools.get(action.upstream)
         # A stall since the decision must not push the time-out past the deadline: the module is told in time.
-        end = call.deadline_ns - NODE_EARLY_NS if call is not None else now
+        end = active.deadline_ns - NODE_EARLY_NS if active is not None else now
         if action.timeout_ns:
-            end = min(end, self._decisions.decided_ns + action.timeout_ns)
-        if call is not None:
-            call.sends += 1
+            end = min(end, self._module_runner.decided_ns + action.timeout_ns)
+        if active is not None:
+            active.sends += 1
         if (
-            call is None
-            or call.out is not None
+            active is None
+            or active.exchange is not None
             or pool is None
             or not pool.ready
             or end <= now
             or number >= self._limits.max_attempts
         ):
-            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, call is None))
+            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, active is None))
             return
-        call.out = Exchange(
+        active.exchange = Exchange(
             pool,
-            lambda: self._attempt(call.request, end - now_ns()),
-            self._when_ended(call, number, action.upstream, now),
+            lambda: self._attempt(active.request, end - now_ns()),
+            self._when_ended(active, number, action.upstream, now),
             wrote=self._forwarded,
-            begin=self._when_begun(call, number, action.upstream, now),
+            begin=self._when_begun(active, number, action.upstream, now),
         )
-        call.out.start(end / SECOND)
+        active.exchange.start(end / SECOND)
 
     def _forwarded(self) -> None:
         self.tally.forwards += 1
@@ -435,46 +435,46 @@
         return write_request(request.method, request.target, headers, request.body)
 
     def _when_ended(
-        self, call: Call, number: int, upstream: int, sent_ns: int
+        self, active: ActiveRequest, number: int, upstream: int, sent_ns: int
     ) -> Callable[[api.Result, Message | None], None]:
         def ended(result: api.Result, response: Message | None) -> None:
-            held_here_ns = int(call.out.held_here_s * SECOND) if call.out is not None else 0
-            call.out = None
+            held_here_ns = int(active.exchange.held_here_s * SECOND) if active.exchange is not None else 0
+            active.exchange = None
             took = now_ns() - sent_ns - held_here_ns
             if response is not None:
                 result = _judged(response)
-            if call.moved_ns:
-                self._finish(call, 200 if result is api.Result.OK else 504)
+            if active.last_progress_ns:
+                self._finish(active, 200 if result is api.Result.OK else 504)
             elif result is api.Result.OK and response is not None:
                 headers = [(k, v) for k, v in response.end_to_end() if k != b"srv-load"]
-                self._finish(call, 200, headers, response.body)
+                self._finish(active, 200, headers, response.body)
             report = self._report(response) if self.config.settings.reports_in_answers else None
-            self.feed(api.Outcome(call.id, number, upstream, result, took, call.over, report))
+            self.feed(api.Outcome(active.id, number, upstream, result, took, active.finished, report))
 
         return ended
 
-    def _when_begun(self, call: Call, number: int, upstream: int, sent_ns: int) -> Begin:
+    def _when_begun(self, active: ActiveRequest, number: int, upstream: int, sent_ns: int) -> Begin:
         """What takes an answer that is passed on as it comes: one piece is on its way at a time."""
 
         def begun(exchange: Exchange, head: Message) -> PassOn | None:
-            if call.over:
+            if active.finished:
                 return None
-            if call.timer is not None:
-                call.timer.cancel()  # from its first byte on, only what moves counts
-            call.moved_ns = now_ns()
-            self._passing[call.id] = call
+            if active.timer is not None:
+                active.timer.cancel()  # from its first byte on, only what moves counts
+            active.last_progress_ns = now_ns()
+            self._streaming[active.id] = active
 
             def writable() -> None:
-                call.moved_ns = now_ns()
+                active.last_progress_ns = now_ns()
                 exchange.hold(False)
 
             def pass_on(data: bytes) -> None:
-                call.moved_ns = now_ns()
-                if not call.client.pass_on(data):
+                active.last_progress_ns = now_ns()
+                if not active.client.pass_on(data):
                     exchange.hold(True)
 
-            call.client.begin([(k, v) for k, v in head.end_to_end() if k != b"srv-load"], head.length, writable)
-            self.feed(api.AnswerBegun(call.id, number, upstream, call.moved_ns - sent_ns))
+            active.client.begin([(k, v) for k, v in head.end_to_end() if k != b"srv-load"], head.length, writable)
+            self.feed(api.AnswerBegun(active.id, number, upstream, active.last_progress_ns - sent_ns))
             return pass_on
 
         return begun
@@ -483,17 +483,17 @@
         return load_report(response.header(b"srv-load")) if response is not None else None
 
     def _cancel(self, action: api.Cancel) -> None:
-        call = self._calls.get(action.request)
-        if call is not None and call.out is not None and action.attempt == call.sends - 1:
-            call.out.finish(api.Result.CANCELLED)
+        active = self._active_requests.get(action.request)
+        if active is not None and active.exchange is not None and action.attempt == active.sends - 1:
+            active.exchange.finish(api.Result.CANCELLED)
 
     # -- probes, lists, peers --
 
     def _call_off_waiting(self) -> None:
         """No first byte may go to an upstream that drains, is gone or has moved, also not when its connection is up."""
-        for call in list(self._calls.values()):
-            if call.out is not None and call.out.astray:
-                call.out.finish(api.Result.MOOT)
+        for active in list(self._active_requests.values()):
+            if active.exchange is not None and active.exchange.astray:
+                active.exchange.finish(api.Result.MOOT)
 
     def _peer_message(self, sender: int, data: bytes) -> None:
         """A peer's message is read with whatever is decided next, or by itself a little later.
--- a/lanemux/net/reload.py
+++ b/lanemux/net/reload.py
@@ -17,14 +17,14 @@
 NEEDS_RESTART = ("name", "listen", "sockets", "cores", "settings", "peer_listen", "peers", "peers_all")
 
 
-class Lists:
+class ListSourceSetting:
     """Where the list comes from, as the operators' file says it now."""
 
     def __init__(self, read: Callable[[], MakeSource | None]) -> None:
         """`read` gives the source that the file names, the same object or an equal one while it names the same; it
         raises ValueError for a file that can't be used."""
         self._read = read
-        self.now = read()
+        self.current = read()
 
     def reload(self, node: Node) -> None:
         """Take up the file as it is now; a bad one changes nothing."""
@@ -33,16 +33,16 @@
         except ValueError as error:
             log.warning("reload: %s; the old operators' file stays", error)
             return
-        if new != self.now:
+        if new != self.current:
             log.info("reload: the list is to come from another source")
-            self.now = new
+            self.current = new
             node.upstream_set.replace_source(new)
 
 
 class Reloader:
     """Takes up a new configuration as far as that goes without a restart; a bad one changes nothing."""
 
-    def __init__(self, path: str, old: Config, node: Node, lists: Lists | None, system: System) -> None:
+    def __init__(self, path: str, old: Config, node: Node, lists: ListSourceSetting | None, system: System) -> None:
         self._path = path
         self._old = old
         self._node = node
--- a/lanemux/net/upstream_set.py
+++ b/lanemux/net/upstream_set.py
@@ -37,14 +37,14 @@
         strayed: Callable[[], None],
     ) -> None:
         self._config, self._hub, self._wall_ns = config, hub, system.wall_ns
-        self._told, self._strayed = told, strayed
+        self._told, self._on_targets_changed = told, strayed
         offset_ns = system.wall_ns() - now_ns()
         self.membership = Membership(offset_ns)  # as last told
         self._addresses = Addresses()
         self._cordons = Cordons(offset_ns, config.settings.rules.cold_ns)
-        self.keep_word: Callable[[Word], bool] = lambda word: True  # for a process beside this one; could it be kept?
-        self.source = (source or self._platform)(self.membership, random.Random(config.seed + 1), self.listed)
-        self.successor: ListSource | None = None  # is to replace it, and has not told a whole list yet
+        self.persist_cordon: Callable[[Word], bool] = lambda word: True  # for the process beside this one; was it kept?
+        self.source = (source or self._platform)(self.membership, random.Random(config.seed + 1), self.apply_listing)
+        self.pending_source: ListSource | None = None  # is to replace it, and has not told a whole list yet
 
     def _platform(self, membership: Membership, rng: random.Random, heard: Heard) -> ListSource:
         return Discovery(self._config.discovery, membership, self._config.settings.discovery_push, rng, heard)
@@ -77,25 +77,25 @@
         """Take the list from another source (None: platform discovery) from its first whole list on.
 
         Until then the old one counts: what it tells is acted on, and a new one that never answers costs nothing."""
-        if self.successor is not None:
-            self.successor.stop()  # of several in a row the last one counts
+        if self.pending_source is not None:
+            self.pending_source.stop()  # of several in a row the last one counts
 
         def heard(listing: Listing | None) -> None:
-            if listing is not None and successor is self.successor:
+            if listing is not None and successor is self.pending_source:
                 self.source.stop()
-                self.source, self.successor = successor, None
+                self.source, self.pending_source = successor, None
             if successor is self.source:
-                self.listed(listing)
+                self.apply_listing(listing)
 
         successor = (make or self._platform)(self.membership, random.Random(self._config.seed + 2), heard)
-        self.successor = successor
+        self.pending_source = successor
         successor.watch()
 
     def stop(self) -> None:
         """The end of its sources begins."""
         self.source.stop()
-        if self.successor is not None:
-            self.successor.stop()
+        if self.pending_source is not None:
+            self.pending_source.stop()
 
     # -- by hand --
 
@@ -112,14 +112,14 @@
         """Leave an upstream out, or use it again, from now on; False where that can't be kept."""
         if self._cordons.out(host) is out:
             known = self._cordons.word(host)
-            return known is None or self.keep_word(known)  # it may not have been kept the first time
+            return known is None or self.persist_cordon(known)  # it may not have been kept the first time
         word = self._cordons.said(host, out, self._wall_ns())
         if not self._cordons.room(host):
             return False
-        self.hear_word(word)
-        return self.keep_word(word)
+        self.apply_cordon(word)
+        return self.persist_cordon(word)
 
-    def hear_word(self, word: Word) -> None:
+    def apply_cordon(self, word: Word) -> None:
         """An operator's word, said here or to a process beside this one."""
         if self._cordons.hear(word):
             log.info("by hand: %.80s is %s", word.host, "left out" if word.out else "used again")
@@ -129,7 +129,7 @@
 
     # -- what counts --
 
-    def listed(self, listing: Listing | None) -> None:
+    def apply_listing(self, listing: Listing | None) -> None:
         """What a source tells; None: a call of it failed."""
         if listing is None:
             self._told(api.ListUpdate(api.ListKind.FAILED))
@@ -165,5 +165,5 @@
             pool = pools.pop(number)
             pool.ready = False
             pool.close_idle()
-        self._strayed()
+        self._on_targets_changed()
         return entries
--- a/lanemux/virtual/stage.py
+++ b/lanemux/virtual/stage.py
@@ -22,7 +22,7 @@
 from lanemux.net.daemon import serve
 from lanemux.net.decisions import Module
 from lanemux.net.node import Node
-from lanemux.net.reload import Lists
+from lanemux.net.reload import ListSourceSetting
 from lanemux.policy import Balancer
 from lanemux.rehearsal.addresses import reserve
 from lanemux.rehearsal.balancers import Place, configuration
@@ -338,7 +338,7 @@
             balancer.node = node
 
         async def serving() -> None:
-            lists = Lists(lambda: self._make_source(balancer, process))
+            lists = ListSourceSetting(lambda: self._make_source(balancer, process))
             admission = (lambda places: ConnectionAdmission(places, 0.5)) if self.script.storm else None
             await serve(read_config(CONFIGURATION, process), CONFIGURATION, lists, process, module, up, admission)
 
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -222,7 +222,7 @@
                 told.append(word)
                 return kept[len(told) - 1]
 
-            client.node.upstream_set.keep_word = keep
+            client.node.upstream_set.persist_cordon = keep
             assert (await call(port, "PUT /admin/cordon/s0")).status == 507
             assert (await call(port, "PUT /admin/cordon/s0")).status == 200
             assert told[0] == told[1] and told[0].out
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -21,7 +21,7 @@
 from lanemux.etcd.source import EtcdSource, Make
 from lanemux.net.config import Config
 from lanemux.net.node import Node
-from lanemux.net.reload import Lists
+from lanemux.net.reload import ListSourceSetting
 from lanemux.operators import load
 from lanemux.rehearsal.etcd.mangler import Mangler
 from lanemux.rehearsal.etcd.server import StandIn
@@ -483,7 +483,7 @@
             await until(lambda: len(node._hub.pools) == 1)
             old = node.upstream_set.source
             node.upstream_set.replace_source(Make(Target((standin.address,), PREFIX)))
-            await until(lambda: node.upstream_set.source is not old and node.upstream_set.successor is None)
+            await until(lambda: node.upstream_set.source is not old and node.upstream_set.pending_source is None)
         await standin.stop()
 
     run(test())
@@ -492,7 +492,7 @@
 def test_the_operators_file_is_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text('[etcd]\nendpoints = ["127.0.0.1:1"]\nprefix = "/a/"\n')
-    lists = Lists(lambda: _source(load(str(path))))
+    lists = ListSourceSetting(lambda: _source(load(str(path))))
     replaced: list[Make | None] = []
     node = cast(Node, SimpleNamespace(upstream_set=SimpleNamespace(replace_source=replaced.append)))
     lists.reload(node)
--- a/tests/rehearsal/broken/close_error_escapes.py
+++ b/tests/rehearsal/broken/close_error_escapes.py
@@ -21,7 +21,7 @@
 
 
 def run_until_ended(
-    run: Callable[[], Coroutine[None, None, None]], name: str, system: System, end_request: daemon.EndRequest
+    run: Callable[[], Coroutine[None, None, None]], name: str, system: System, stop_request: daemon.StopRequest
 ) -> int:
     daemon._run_on(EventLoop(), run())
     return 0
--- a/tests/rehearsal/broken/holds_refusals.py
+++ b/tests/rehearsal/broken/holds_refusals.py
@@ -12,7 +12,7 @@
 
 
 def held(self: Any, action: api.Refuse) -> None:
-    call = self._calls.get(action.request)
+    call = self._active_requests.get(action.request)
     if call is not None:
         self._loop.call_at(call.deadline_ns / 1e9 - EARLY_S, refuse, self, action)
 
--- a/tests/rehearsal/broken/late_drain.py
+++ b/tests/rehearsal/broken/late_drain.py
@@ -9,7 +9,7 @@
 from lanemux.net.upstream_set import UpstreamSet
 
 LATE_S = 1.5
-listed = UpstreamSet.listed
+listed = UpstreamSet.apply_listing
 
 
 def later(self: Any, listing: Any) -> None:
@@ -20,5 +20,5 @@
         listed(self, listing)
 
 
-UpstreamSet.listed = later  # type: ignore[method-assign]
+UpstreamSet.apply_listing = later  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/never_answers.py
+++ b/tests/rehearsal/broken/never_answers.py
@@ -13,7 +13,7 @@
 
 
 def silent(self: Any, call: Any, status: int, headers: Any = (), body: bytes = b"") -> None:
-    if not call.over and draw.random() < SHARE:
+    if not call.finished and draw.random() < SHARE:
         self._drop(call)
     else:
         finish(self, call, status, headers, body)
--- a/tests/rehearsal/broken/refuses_heavy.py
+++ b/tests/rehearsal/broken/refuses_heavy.py
@@ -14,7 +14,7 @@
 def light_only(self: Any, *events: api.Event) -> None:
     for event in events:
         if isinstance(event, api.Arrival) and event.cost_hint_ns > MOST_NS:
-            self._final(event.request, 503)
+            self._finish_by_id(event.request, 503)
         else:
             feed(self, event)
 
--- a/tests/rehearsal/broken/resends_silently.py
+++ b/tests/rehearsal/broken/resends_silently.py
@@ -18,9 +18,9 @@
 
 def watched(self: Any, action: Any) -> None:
     send(self, action)
-    call = self._calls.get(action.request)
-    if call is not None and call.out is not None:
-        self._loop.call_later(AFTER_S, resend, call.out)
+    call = self._active_requests.get(action.request)
+    if call is not None and call.exchange is not None:
+        self._loop.call_later(AFTER_S, resend, call.exchange)
 
 
 Node._send = watched  # type: ignore[method-assign]
--- a/tests/rehearsal/broken/signals_end_it.py
+++ b/tests/rehearsal/broken/signals_end_it.py
@@ -12,5 +12,5 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, daemon.HANDLED_SIGNALS)
 
 
-daemon.hold_signals = hold_nothing
+daemon.block_signals = hold_nothing
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/two_at_once.py
+++ b/tests/rehearsal/broken/two_at_once.py
@@ -13,12 +13,12 @@
 
 def twice(self: Any, action: api.Send) -> None:
     send(self, action)
-    call = self._calls.get(action.request)
-    if call is None or call.out is None or int(call.id) % 10:
+    call = self._active_requests.get(action.request)
+    if call is None or call.exchange is None or int(call.id) % 10:
         return
     other = next((p for n, p in self._hub.pools.items() if n != action.upstream and p.ready), None)
     if other is not None:
-        Exchange(other, call.out.render, lambda result, response: None).start(None)
+        Exchange(other, call.exchange.render, lambda result, response: None).start(None)
 
 
 Node._send = twice  # type: ignore[method-assign]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -130,7 +130,7 @@
 
         def react(event: api.Event) -> tuple[()]:
             if isinstance(event, api.ListUpdate) and event.kind is api.ListKind.DELTA:
-                asking.append(platform(client)._call is not None)  # before the change is acted on
+                asking.append(platform(client)._watch_call is not None)  # before the change is acted on
             return ()
 
         script = Script(react)
@@ -246,7 +246,7 @@
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
             client.node.feed(api.Wake("off"))
-            assert platform(client)._source._pool.hub.open == 0
+            assert platform(client)._client._pool.hub.open == 0
             client.node.feed(api.Wake("on"))
             await until(lambda: len(registry.calls) == 2)
             client.node.feed(api.Wake("fetch"))
@@ -276,7 +276,7 @@
         new = await second("s8", "s9")
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            left = platform(client)._source
+            left = platform(client)._client
             client.node.upstream_set.move_discovery((HOST, new.upstream.port))
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
@@ -316,7 +316,7 @@
             client.node.upstream_set.move_discovery((HOST, new.upstream.port))
             old.broken = written(503)
             old.change("s1")  # the watch ends
-            await until(lambda: platform(client)._call is None)
+            await until(lambda: platform(client)._watch_call is None)
             assert platform(client)._retry is None
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
@@ -339,7 +339,7 @@
             for address in addresses[:2]:
                 client.node.upstream_set.move_discovery(address)
             await until(lambda: len(new[1].calls) == 2)
-            assert not new[0].calls and platform(client)._successor is None
+            assert not new[0].calls and platform(client)._next_client is None
             assert hosts(script) == [client.node.upstream_set.membership.number("s8")]
         for registry in new:
             registry.upstream.stop()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -288,7 +288,7 @@
             draining = asyncio.create_task(client.node.drain())
             await until(lambda: not client.node.ready)
             assert (await client.ask(request())).status == 200  # for a moment none is open
-            assert client.node._quiet.is_set()
+            assert client.node._drained.is_set()
             late = client.another()
             await late.send(request("/read/late"))
             await until(lambda: client.node.server._listener is None)
@@ -319,7 +319,7 @@
             draining = asyncio.create_task(client.node.drain())
             await until(lambda: not client.node.ready)
             await client.send(request())
-            await until(lambda: client.node._passing)
+            await until(lambda: client.node._streaming)
             await until(lambda: client.node.server._listener is None)
             assert not draining.done()
             for transport in (mine, side._transport):  # small buffers would take long
@@ -511,7 +511,7 @@
             await until(lambda: upstream.closed == 1)
             assert script.of(api.ClientGone) == [api.ClientGone("1")]
             assert [(o.result, o.complete) for o in script.of(api.Outcome)] == [(Result.CANCELLED, True)]
-            assert not client.node._calls and not client.node._by_client
+            assert not client.node._active_requests and not client.node._by_client
 
     run(test())
 
@@ -602,7 +602,7 @@
             listing = read_listing(
                 {"seq": 2, "whole": False, "hosts": [row]}, client.node.upstream_set.membership, now_ns()
             )
-            client.node.upstream_set.listed(listing)
+            client.node.upstream_set.apply_listing(listing)
             assert (await client.read()).status == 504
             up.set()
             assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT]
@@ -626,7 +626,7 @@
             await send_held(client, script, monkeypatch, up)
             await asyncio.sleep(0)  # its connection is under way to the old address
             moved = {"seq": 2, "whole": False, "hosts": known(new.port)["hosts"]}
-            client.node.upstream_set.listed(read_listing(moved, client.node.upstream_set.membership, now_ns()))
+            client.node.upstream_set.apply_listing(read_listing(moved, client.node.upstream_set.membership, now_ns()))
             assert (await client.read()).status == 504
             assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT]
             up.set()
@@ -654,7 +654,7 @@
             await client.send(request())
             await until(lambda: old.got)
             moved = {"seq": 2, "whole": False, "hosts": known(new.port)["hosts"]}
-            client.node.upstream_set.listed(read_listing(moved, client.node.upstream_set.membership, now_ns()))
+            client.node.upstream_set.apply_listing(read_listing(moved, client.node.upstream_set.membership, now_ns()))
             answer.set()
             assert (await client.read()).status == 200
             assert (await client.ask(request())).status == 200
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from lanemux.net.daemon import REST_MAX_S, STOP_LATE_S, rest_s
+from lanemux.net.daemon import MAX_READINESS_DELAY_S, THROTTLE_LAG_S, readiness_delay_s
 from tests.sockets import (
     HOST,
     PATIENCE_S,
@@ -157,10 +157,11 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "spent_s", "rest"), [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + STOP_LATE_S), (0.01, 0.1, REST_MAX_S)]
+    ("cores", "spent_s", "rest"),
+    [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLE_LAG_S), (0.01, 0.1, MAX_READINESS_DELAY_S)],
 )
 def test_the_rest_pays_for_the_start(cores: float, spent_s: float, rest: float) -> None:
-    assert rest_s(cores, spent_s) == pytest.approx(rest)
+    assert readiness_delay_s(cores, spent_s) == pytest.approx(rest)
 
 
 def test_sighup_moves_discovery_and_survives_a_bad_file(tmp_path: Path) -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from lanemux.net.discovery import MAX_LIST
+from lanemux.net.discovery import MAX_LIST_BYTES
 from tests.sockets import HOST, PATIENCE_S, Registry, Upstream, answers, entry, known, request, run, until
 from tests.test_process import READY, ask, config
 
@@ -146,12 +146,14 @@
                 others.append(await Upstream(answers(200)).start())
                 hosts = [entry(f"s{i}-{'x' * 500}", others[told].port, site="y" * 100) for i in range(rows)]
                 text = json.dumps({"seq": rows, "whole": True, "hosts": hosts}, indent=4).encode()
-                assert len(text) < MAX_LIST
+                assert len(text) < MAX_LIST_BYTES
                 registry.broken = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text)
                 registry.change("any")
                 while not others[told].got:  # what it lists is used
                     assert (await ask(port, request())).status in (200, 503)
-            registry.broken = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST + 1) + b" " * (MAX_LIST + 1)
+            registry.broken = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_BYTES + 1) + b" " * (
+                MAX_LIST_BYTES + 1
+            )
             assert b"call failed" in await line_with(process, b"discovery")
             asked = len(others[-1].got)
             assert (await ask(port, request())).status == 200  # the old state stays
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -15,7 +15,7 @@
 from lanemux import interface as api
 from lanemux.interface import Result
 from lanemux.net.http import KEPT_ANSWER, MessageReader
-from lanemux.net.node import PASSING_IDLE_NS
+from lanemux.net.node import STREAM_IDLE_TIMEOUT_NS
 from lanemux.net.upstream import LEAST_PIECE, PASSING_BYTES, PIECE, Hub
 from lanemux.policy import Balancer
 from tests.sockets import Answer, Client, Got, Script, Upstream, Writer, answers, node, request, run, settings, until
@@ -178,8 +178,8 @@
             mine.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             mine.pause_reading()
             await client.send(request())
-            await until(lambda: client.node._passing)
-            call = next(iter(client.node._passing.values()))
+            await until(lambda: client.node._streaming)
+            call = next(iter(client.node._streaming.values()))
             transport = call.client._transport
             assert transport is not None
             await until(lambda: transport.get_write_buffer_size() > 0)
@@ -189,9 +189,9 @@
                 await asyncio.sleep(0.05)
                 assert transport.get_write_buffer_size() <= 2 * PIECE
             assert written < 32 * 1024 * 1024
-            call.moved_ns -= 2 * PASSING_IDLE_NS
+            call.last_progress_ns -= 2 * STREAM_IDLE_TIMEOUT_NS
             client.node._sweep_idle()
-            assert not client.node._passing and client.node.tally.aborted["read"] == 1
+            assert not client.node._streaming and client.node.tally.aborted["read"] == 1
 
     run(test())
 
@@ -203,9 +203,9 @@
         sends_first(script)
         async with node(script, upstream) as client:
             await client.send(request())
-            await until(lambda: client.node._passing)
+            await until(lambda: client.node._streaming)
             client.close()
-            await until(lambda: upstream.closed == 1 and not client.node._passing)
+            await until(lambda: upstream.closed == 1 and not client.node._streaming)
             assert client.node._hub.passing == 0 and script.of(api.ClientGone)
 
     run(test())
@@ -218,7 +218,7 @@
         sends_first(script)
         async with node(script, upstream) as client:
             await client.send(request())
-            await until(lambda: client.node._passing)
+            await until(lambda: client.node._streaming)
             await client.send(request())
             _, body, whole = await body_of(client)
             assert body == b"x" and not whole
--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -31,7 +31,7 @@
         "no-call-off",
         "past mend: a request that waits for a connection is called off when its box drains or moves",
         UPSTREAM_SET,
-        "            pool.close_idle()\n        self._strayed()\n",
+        "            pool.close_idle()\n        self._on_targets_changed()\n",
         "            pool.close_idle()\n",
     ),
     Planted(
@@ -40,14 +40,22 @@
         (
             (
                 NODE,
-                "        if not call.over:\n            self._drop(call)\n",
-                "        if True:\n            self._drop(call)\n",
+                "        if not active.finished:\n            self._drop(active)\n",
+                "        if True:\n            self._drop(active)\n",
             ),
-            (NODE, "        del self._calls[call.id]\n", "        self._calls.pop(call.id, None)\n"),
-            (NODE, "        del self._by_client[call.client]\n", "        self._by_client.pop(call.client, None)\n"),
             (
                 NODE,
-                "        if call.out is not None:\n            call.out.finish(api.Result.CANCELLED)\n        if self._stopping",
+                "        del self._active_requests[active.id]\n",
+                "        self._active_requests.pop(active.id, None)\n",
+            ),
+            (
+                NODE,
+                "        del self._by_client[active.client]\n",
+                "        self._by_client.pop(active.client, None)\n",
+            ),
+            (
+                NODE,
+                "        if active.exchange is not None:\n            active.exchange.finish(api.Result.CANCELLED)\n        if self._stopping",
                 "        if self._stopping",
             ),
         ),
@@ -56,14 +64,14 @@
         "id-twice",
         "past mend: a second use of an open request's id is refused",
         NODE,
-        "elif ids[0] in self._ids:",
+        "elif ids[0] in self._active_request_ids:",
         "elif False:",
     ),
     _one(
         "timeout-from-send",
         "past mend: the time-out counts from the decision",
         NODE,
-        "end = min(end, self._decisions.decided_ns + action.timeout_ns)",
+        "end = min(end, self._module_runner.decided_ns + action.timeout_ns)",
         "end = now + action.timeout_ns",
     ),
     _one(
@@ -77,14 +85,14 @@
         "timers-left",
         "this issue's mend: the module's timers end with the node",
         NODE,
-        "for timer in (*self._timers.values(), self._sweep, ",
-        "for timer in (self._sweep, ",
+        "for timer in (*self._module_timers.values(), self._sweep_timer, ",
+        "for timer in (self._sweep_timer, ",
     ),
     _one(
         "moot-untold",
         "past mend: a Send that can't be carried out has its Outcome",
         NODE,
-        "            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, call is None))\n",
+        "            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, active is None))\n",
         "",
     ),
     _one(
@@ -140,22 +148,22 @@
         "silent-discovery",
         "past mend: a watch that is silent for too long is given up",
         DISCOVERY,
-        "wait_s + OVERDUE_S,",
+        "wait_s + RESPONSE_MARGIN_S,",
         "wait_s + 3600,",
     ),
     _one(
         "no-watch-again",
         "discovery is not asked again after a call that failed",
         DISCOVERY,
-        "elif self._pushed and self._successor is None:",
+        "elif self._pushed and self._next_client is None:",
         "elif False:",
     ),
     _one(
         "change-lost",
         "discovery's version is taken for seen when the watch begins",
         DISCOVERY,
-        "        self._call = self._source.get(query, wait_ms / 1000, self._answered)",
-        "        self._call = self._source.get(query, wait_ms / 1000, self._answered)\n"
+        "        self._watch_call = self._client.get(query, wait_ms / 1000, self._answered)",
+        "        self._watch_call = self._client.get(query, wait_ms / 1000, self._answered)\n"
         "        self._version = (self._version or 0) + 1",
     ),
     _one(
