--- a/bench/programs/etcd_node.py
+++ b/bench/programs/etcd_node.py
@@ -41,7 +41,7 @@
             late.append((now, now - int(entry.upstream.zone), entry.upstream.state.name))
 
 
-async def watched(self: Any, rest_s: float = 0.0) -> int:
+async def watched(self: Any, readiness_delay_s: float = 0.0) -> int:
     loop = asyncio.get_running_loop()
 
     def look(due: float) -> None:
@@ -51,7 +51,7 @@
         loop.call_later(LOOK_S, look, loop.time() + LOOK_S)
 
     look(loop.time())
-    return await start(self, rest_s)
+    return await start(self, readiness_delay_s)
 
 
 def collected(phase: str, told: dict[str, int]) -> None:
--- a/lanemux/admin/extension.py
+++ b/lanemux/admin/extension.py
@@ -22,7 +22,9 @@
         """`folder`: what two processes of this balancer share; None: nothing."""
         self._node = node
         self._admin = AdminServer(node, system) if node.config.admin is not None else None
-        self._shared = Shared(system, f"{folder}/{FOLDER}", node.upstream_set.apply_cordon) if folder is not None else None
+        self._shared = (
+            Shared(system, f"{folder}/{FOLDER}", node.upstream_set.apply_cordon) if folder is not None else None
+        )
 
     def start(self) -> None:
         """Before the node takes up its list: whoever is out by hand is so from the first decision on."""
--- a/tests/rehearsal/broken/ignores_deadlines.py
+++ b/tests/rehearsal/broken/ignores_deadlines.py
@@ -12,8 +12,8 @@
 open_call = Node._open
 
 
-def patient(self: Any, client: Any, request: Any, name: str, deadline_ns: int) -> None:
-    open_call(self, client, request, name, deadline_ns + MORE_NS)
+def patient(self: Any, client: Any, request: Any, class_name: str, deadline_ns: int) -> None:
+    open_call(self, client, request, class_name, deadline_ns + MORE_NS)
 
 
 def long_aims(raw: Any) -> api.Settings:
--- a/tests/rehearsal/broken/never_answers.py
+++ b/tests/rehearsal/broken/never_answers.py
@@ -12,11 +12,11 @@
 draw = random.Random()
 
 
-def silent(self: Any, call: Any, status: int, headers: Any = (), body: bytes = b"") -> None:
-    if not call.finished and draw.random() < SHARE:
-        self._drop(call)
+def silent(self: Any, active: Any, status: int, headers: Any = (), body: bytes = b"") -> None:
+    if not active.finished and draw.random() < SHARE:
+        self._drop(active)
     else:
-        finish(self, call, status, headers, body)
+        finish(self, active, status, headers, body)
 
 
 Node._finish = silent  # type: ignore[method-assign]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -96,7 +96,7 @@
     async def test() -> None:
         async with node(Script(), max_open=1) as client:
             await client.send(request())
-            await until(lambda: client.node._calls)
+            await until(lambda: client.node._active_requests)
             got = await client.another().ask(request())
             assert got.status == 503 and float(got.headers["retry-after"]) > 0
 
@@ -116,7 +116,7 @@
             assert (await client.read()).status == 400
             assert await client.closed()
             assert len(script.of(api.Arrival)) == len(script.of(api.ClientGone)) == apart
-            assert not client.node._calls and not client.node._ids
+            assert not client.node._active_requests and not client.node._active_request_ids
 
     run(test())
 
@@ -308,7 +308,7 @@
         script = Script(lambda e: [api.Fail("1")] if isinstance(e, api.Wake) else ())
         async with node(script) as client:
             await client.send(request(name="one"))
-            await until(lambda: client.node._calls)
+            await until(lambda: client.node._active_requests)
             assert (await client.another().ask(request(name="one"))).status == 409
             client.node.feed(api.Wake("now"))
             assert (await client.read()).status == 504  # the open one goes on as if nothing had come
