--- a/lanemux/net/decisions.py
+++ b/lanemux/net/decisions.py
@@ -1,4 +1,4 @@
-"""Asks the module for its decisions, and sets it right after a fault in it."""
+"""Runs the decision module and restores its state after an exception in it."""
 
 from __future__ import annotations
 
@@ -11,58 +11,59 @@
 
 log = logging.getLogger(__name__)
 
-FAILURES_LOGGED_NS = 10 * SECOND  # one failure of the module in so long is told with its trace
+FAILURE_LOG_INTERVAL_NS = 10 * SECOND  # at most one failure of the module in this interval is logged with its traceback
 
 
 class Module(Protocol):
-    """What decides: the `Balancer` of `lanemux/policy.py`."""
+    """The decision module: the `Balancer` of `lanemux/policy.py`, or a wrapper around it."""
 
-    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]: ...
+    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+        """Process events; returns the actions to execute."""
 
     def avoided(self, now: int) -> int:
-        """Listed upstreams that it leaves alone now."""
+        """Number of listed upstreams that it does not use now."""
 
     def standing(self, now: int) -> Mapping[str, object]:
-        """Why it does what it does, in figures."""
+        """Internal figures that explain its decisions."""
 
 
 class ModuleRunner:
-    """The module, and what is true where it has failed."""
+    """Calls the module, and rebuilds its state after a failure."""
 
-    def __init__(self, module: Module, facts: Callable[[int], list[api.Event]]) -> None:
-        """`facts` gives, for a time, the events that tell the module all that is true then."""
-        self._module, self._facts = module, facts
-        self._failed_ns, self._failures_untold = -FAILURES_LOGGED_NS, 0  # the last failure in the log
-        self.decided_ns = 0  # the clock as the module last read it: what it gives as a time counts from then
+    def __init__(self, module: Module, current_state: Callable[[int], list[api.Event]]) -> None:
+        """`current_state` returns, for a given time, the events that give the module the whole current state."""
+        self._module, self._current_state = module, current_state
+        self._last_logged_ns, self._unlogged_failures = -FAILURE_LOG_INTERVAL_NS, 0
+        self.decided_ns = 0  # the time passed to the module last; delays and timeouts in its actions count from it
 
-    def of(self, batch: list[api.Event]) -> list[api.Action]:
-        """What is to be done about these events."""
+    def handle(self, batch: list[api.Event]) -> list[api.Action]:
+        """Pass events to the module; returns the actions to execute."""
         self.decided_ns = now_ns()
         try:
             return self._module.handle(self.decided_ns, batch)
-        except Exception:  # a fault in the decisions costs what came with it, not the process
+        except Exception:  # an exception in the module loses this batch's actions, not the process
             return self._recovered(batch)
 
     def _recovered(self, batch: list[api.Event]) -> list[api.Action]:
-        """The module failed: tell it what is true, and the whole list, since a drain may be among what it lost.
-
-        Actions of the failed batch are lost. What it began is ended or begun anew by the module."""
-        failed = self.decided_ns >= self._failed_ns + FAILURES_LOGGED_NS
-        if failed:
-            self._failed_ns = self.decided_ns
-            log.exception("the module failed on %.200r (%d times untold)", batch, self._failures_untold)
-        self._failures_untold = 0 if failed else self._failures_untold + 1
+        """The module failed: give it the current state, and the full list, since the failed batch may hold a drain.
+
+        Actions of the failed batch are lost. The module ends or restarts what it had begun."""
+        log_failure = self.decided_ns >= self._last_logged_ns + FAILURE_LOG_INTERVAL_NS
+        if log_failure:
+            self._last_logged_ns = self.decided_ns
+            log.exception("the module failed on %.200r (%d failures not logged)", batch, self._unlogged_failures)
+        self._unlogged_failures = 0 if log_failure else self._unlogged_failures + 1
         try:
-            return self._module.handle(self.decided_ns, self._facts(self.decided_ns))
+            return self._module.handle(self.decided_ns, self._current_state(self.decided_ns))
         except Exception:
-            log.exception("the module failed on what is true")
+            log.exception("the module failed on the current state")
             return []
 
     @property
     def avoided(self) -> int:
-        """Listed upstreams that are left alone now."""
+        """Number of listed upstreams that the module does not use now."""
         return self._module.avoided(now_ns())
 
     def standing(self) -> Mapping[str, object]:
-        """Why the decisions are what they are, in figures."""
+        """The module's internal figures, which explain its decisions."""
         return self._module.standing(now_ns())
--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -1,4 +1,4 @@
-"""The list of upstreams: reading it, and keeping a watch on it."""
+"""Platform discovery: parses its lists of upstreams and watches for changes."""
 
 from __future__ import annotations
 
@@ -18,35 +18,38 @@
 log = logging.getLogger(__name__)
 
 LIST_PATH = "/registry/instances"
-# Of a list: 4,096 rows of 1 KiB, which no row takes, indented and with a long name; 20,000 as discovery writes them.
-MAX_LIST_BYTES = 4096 * 1024  # bytes
-# How long a watch call may wait. Silence for longer shows that it is lost, on a connection that has died
-# unseen or at a discovery that is down. What a lost call would have told counts as told some seconds
-# later all the same, so it must be found out before. An agent on this machine answers at no cost, an
-# asked one does not.
-AGENT_WAIT_MS = 2_000
-ASKED_WAIT_MS = 10_000
-RESPONSE_MARGIN_S = 1.0  # beyond that, and for an answer that waits for nothing
-# A discovery that answers at once must not be asked without pause, whatever it answers: the next call waits so long,
-# longer each time that comes at once again. 200 ms are a new watch.
-BREATH_S, LONGEST_BREATH_S = 0.02, 0.15
-AT_ONCE = 16  # answers in a row with news each, as a release brings them, before that
-REPAIR_S = 1.0  # after a list that could not be taken up
-FIRST_RETRY_S, LAST_RETRY_S = 0.05, 1.0
-
-
-def read_listing(raw: object, membership: Membership, heard_ns: int, current: bool = True) -> Listing:
-    """Discovery's answer (protocol page), heard at that time; BadList if it is none. `current`: it holds now."""
+# Room for 4,096 rows of 1 KiB, more than an indented row with a long name takes, or 20,000 rows as discovery writes
+# them.
+MAX_LIST_BYTES = 4096 * 1024
+# How long a watch (long poll) may wait for a change. A longer silence means that the call is lost: its connection has
+# died unnoticed, or discovery is down. A balancer counts as informed of a change some seconds later even if the call
+# that would have delivered it was lost, so the loss must be detected before that. Calls to a local agent, which pushes
+# changes, cost nothing; calls to a discovery that is polled do, so they wait longer.
+PUSH_WAIT_MS = 2_000
+PULL_WAIT_MS = 10_000
+RESPONSE_MARGIN_S = 1.0  # added to that wait; also the timeout of a call that does not wait
+# A discovery that answers immediately must not be polled without pause: the next call waits, and longer with each
+# further immediate answer. A pause of 200 ms would count as a new watch.
+MIN_PAUSE_S, MAX_PAUSE_S = 0.02, 0.15
+UNPAUSED_ANSWERS = 16  # immediate answers in a row, each with changes as during a release, that cause no pause
+REFETCH_DELAY_S = 1.0  # from a listing that could not be applied to fetching the full list
+FIRST_RETRY_S, MAX_RETRY_S = 0.05, 1.0
+
+
+def read_listing(raw: object, membership: Membership, received_ns: int, current: bool = True) -> Listing:
+    """Parse a list from discovery that was received at `received_ns`; raises BadList if it is none.
+
+    `current`: it describes the present, unlike the cached list of the configuration."""
     if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
         raise BadList("no object with hosts")
     version, whole = raw.get("seq"), raw.get("whole")
     if not isinstance(version, int) or not isinstance(whole, bool):
         raise BadList("no seq or whole")
-    return Listing(version, whole, membership.take(raw["hosts"], whole, heard_ns, current), told_ns=heard_ns)
+    return Listing(version, whole, membership.take(raw["hosts"], whole, received_ns, current), told_ns=received_ns)
 
 
 class RegistryClient:
-    """One address of discovery, and the calls to it."""
+    """Calls to discovery at one address."""
 
     def __init__(self, address: Address, membership: Membership) -> None:
         self.address = address
@@ -55,6 +58,7 @@
         self._membership = membership
 
     def get(self, query: str, wait_s: float, done: Callable[[Listing | None], None]) -> Exchange:
+        """Request the list; `done` gets the parsed listing, or None if the call failed."""
         data = write_request(b"GET", (LIST_PATH + query).encode(), [(b"Host", self._host)])
         return self._pool.exchange(
             data, wait_s + RESPONSE_MARGIN_S, lambda result, response: done(self._read(result, response))
@@ -69,56 +73,57 @@
         except ValueError as error:
             log.warning("discovery: %.120s", error)
             return None
-        except Exception:  # a fault of ours is a failed call: the watch goes on
-            log.exception("discovery: an answer could not be taken up")
+        except Exception:  # an internal error counts as a failed call: the watch goes on
+            log.exception("discovery: a response could not be processed")
             return None
 
     def close(self) -> None:
+        """Close its idle connections."""
         self._pool.close_idle()
 
 
 class Discovery:
-    """Watches the list. Where it is pushed, the watch never ends; where it is asked, the module says when."""
+    """A list source on platform discovery. Pushed lists are always watched; else the module subscribes and fetches."""
 
     def __init__(
-        self, address: Address, membership: Membership, pushed: bool, rng: random.Random, heard: Heard
+        self, address: Address, membership: Membership, pushed: bool, rng: random.Random, on_listing: Heard
     ) -> None:
         self._membership = membership
         self._client = RegistryClient(address, membership)
-        self._next_client: RegistryClient | None = None  # the new address, until it has told the whole list
+        self._next_client: RegistryClient | None = None  # for a new address, until it has delivered the full list
         self._pushed = pushed
         self._rng = rng
-        self._heard = heard
+        self._on_listing = on_listing
         self._version: int | None = None
         self._watching = False
         self._watch_call: Exchange | None = None
-        self._fetch: Exchange | None = None
-        self._handover: Exchange | None = None  # the call to the successor
-        self._retry: asyncio.TimerHandle | None = None
-        self._handover_retry: asyncio.TimerHandle | None = None
-        self._failures = 0
-        self._handover_failures = 0
-        self._asked_s = 0.0  # when the watch was last asked, by the loop's clock
-        self._at_once = 0  # answers in a row that came at once
+        self._fetch_call: Exchange | None = None
+        self._switch_call: Exchange | None = None  # the call to the next client
+        self._watch_retry: asyncio.TimerHandle | None = None
+        self._switch_retry: asyncio.TimerHandle | None = None
+        self._watch_failures = 0
+        self._switch_failures = 0
+        self._watch_started_s = 0.0  # loop time at which the last watch call started
+        self._immediate_answers = 0  # immediate answers in a row
 
     def take_known(self, listing: Listing) -> None:
         self._version = listing.version
 
     def watch(self) -> None:
-        """Ask for what is newer than what is known; a call that is out already serves."""
+        """Start a watch call for changes after the known version, unless one is in flight."""
         self._watching = True
         if self._watch_call is not None:
             return
         self._cancel_retry()
-        self._asked_s = asyncio.get_running_loop().time()
-        wait_ms = AGENT_WAIT_MS if self._pushed else ASKED_WAIT_MS
+        self._watch_started_s = asyncio.get_running_loop().time()
+        wait_ms = PUSH_WAIT_MS if self._pushed else PULL_WAIT_MS
         query = "" if self._version is None else f"?after={self._version}&wait_ms={wait_ms}"
         self._watch_call = self._client.get(query, wait_ms / 1000, self._answered)
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
-        if self._fetch is None:
-            self._fetch = self._client.get("", 0.0, self._fetched)
+        """Fetch the full list once."""
+        if self._fetch_call is None:
+            self._fetch_call = self._client.get("", 0.0, self._fetched)
 
     def unwatch(self) -> None:
         self._watching = False
@@ -131,102 +136,102 @@
         self._cancel_retry()
 
     def _cancel_retry(self) -> None:
-        if self._retry is not None:
-            self._retry.cancel()
-            self._retry = None
+        if self._watch_retry is not None:
+            self._watch_retry.cancel()
+            self._watch_retry = None
 
     def move(self, address: Address) -> None:
-        """Go over to another address. The watch on the old one stays until the new one has answered."""
-        self._forget_successor()  # of several moves in a row the last one counts
+        """Switch to another address. The watch on the old one continues until the new one has answered."""
+        self._cancel_switch()  # of several moves in a row only the last takes effect
         if address != self._client.address:
             self._next_client = RegistryClient(address, self._membership)
-            self._handover_failures = 0
-            self._ask_successor()
+            self._switch_failures = 0
+            self._call_next_client()
         elif self._watching and self._watch_call is None:
-            self.watch()  # back to an address whose watch had ended
+            self.watch()  # back to the current address, whose watch had ended
 
-    def _forget_successor(self) -> None:
-        if self._handover is not None:
-            self._handover.abandon()
-        if self._handover_retry is not None:
-            self._handover_retry.cancel()
+    def _cancel_switch(self) -> None:
+        if self._switch_call is not None:
+            self._switch_call.abandon()
+        if self._switch_retry is not None:
+            self._switch_retry.cancel()
         if self._next_client is not None:
             self._next_client.close()
-        self._next_client = self._handover = self._handover_retry = None
+        self._next_client = self._switch_call = self._switch_retry = None
 
-    def _ask_successor(self) -> None:
-        self._handover_retry = None
+    def _call_next_client(self) -> None:
+        self._switch_retry = None
         if self._next_client is not None:
-            self._handover = self._next_client.get("", 0.0, self._succeeded)
+            self._switch_call = self._next_client.get("", 0.0, self._next_client_answered)
 
-    def _succeeded(self, listing: Listing | None) -> None:
-        self._handover = None
+    def _next_client_answered(self, listing: Listing | None) -> None:
+        self._switch_call = None
         if self._next_client is None:
             return
         if listing is None or not listing.whole:
-            self._handover_failures += 1
-            self._handover_retry = asyncio.get_running_loop().call_later(
-                self._pause_s(self._handover_failures), self._ask_successor
+            self._switch_failures += 1
+            self._switch_retry = asyncio.get_running_loop().call_later(
+                self._retry_delay_s(self._switch_failures), self._call_next_client
             )
             return
         self._end_call()
-        if self._fetch is not None:  # what the whole list was asked for, this one answers
-            self._fetch.abandon()
-            self._fetch = None
+        if self._fetch_call is not None:  # this full list also answers that call
+            self._fetch_call.abandon()
+            self._fetch_call = None
         self._client.close()
         self._client, self._next_client = self._next_client, None
-        self._failures, self._version = 0, listing.version
+        self._watch_failures, self._version = 0, listing.version
         if self._watching:
             self.watch()
-        self._tell(listing)
+        self._deliver(listing)
 
     def stop(self) -> None:
         self.unwatch()
-        self._forget_successor()
-        if self._fetch is not None:
-            self._fetch.abandon()
+        self._cancel_switch()
+        if self._fetch_call is not None:
+            self._fetch_call.abandon()
         self._client.close()
 
     async def stopped(self) -> None:
-        """At once: its calls are no tasks."""
+        """Returns immediately: calls to discovery are not tasks."""
 
     def _fetched(self, listing: Listing | None) -> None:
-        self._fetch = None
-        self._tell(listing)
+        self._fetch_call = None
+        self._deliver(listing)
 
     def _answered(self, listing: Listing | None) -> None:
         self._watch_call = None
-        self._failures = 0 if listing is not None else self._failures + 1
+        self._watch_failures = 0 if listing is not None else self._watch_failures + 1
         if listing is not None:
-            breath_s = self._breath_s(bool(listing.entries) and listing.version != self._version)
+            pause_s = self._next_call_pause_s(bool(listing.entries) and listing.version != self._version)
             self._version = listing.version
-            if breath_s:
-                self._watch_later(breath_s)
+            if pause_s:
+                self._watch_later(pause_s)
             else:
-                self.watch()  # first of all: a watch that pauses for 200 ms is a new one
-        elif self._pushed and self._next_client is None:  # else the watch goes on there
-            self._watch_later(self._pause_s(self._failures))
-        self._tell(listing)
-
-    def _breath_s(self, news: bool) -> float:
-        """How long the next call of the watch waits behind an answer, with news in it or without."""
-        took_s = asyncio.get_running_loop().time() - self._asked_s
-        self._at_once = self._at_once + 1 if took_s < BREATH_S else 0
-        over = self._at_once - (AT_ONCE if news else 1)
-        return 0.0 if news and over <= 0 else min(LONGEST_BREATH_S, BREATH_S * 2.0 ** max(0, min(over, 10)))
-
-    def _pause_s(self, failures: int) -> float:
-        wait = min(LAST_RETRY_S, FIRST_RETRY_S * 2.0 ** min(failures - 1, 10))
+                self.watch()  # before the listing is applied: a watch that pauses for 200 ms counts as a new one
+        elif self._pushed and self._next_client is None:  # during a switch, the watch resumes at the new address
+            self._watch_later(self._retry_delay_s(self._watch_failures))
+        self._deliver(listing)
+
+    def _next_call_pause_s(self, changed: bool) -> float:
+        """How long to pause before the next watch call after an answer, with changes in it or without."""
+        took_s = asyncio.get_running_loop().time() - self._watch_started_s
+        self._immediate_answers = self._immediate_answers + 1 if took_s < MIN_PAUSE_S else 0
+        excess = self._immediate_answers - (UNPAUSED_ANSWERS if changed else 1)
+        return 0.0 if changed and excess <= 0 else min(MAX_PAUSE_S, MIN_PAUSE_S * 2.0 ** max(0, min(excess, 10)))
+
+    def _retry_delay_s(self, failures: int) -> float:
+        wait = min(MAX_RETRY_S, FIRST_RETRY_S * 2.0 ** min(failures - 1, 10))
         return wait * self._rng.uniform(0.75, 1.25)
 
     def _watch_later(self, wait_s: float) -> None:
-        self._retry = asyncio.get_running_loop().call_later(wait_s, self.watch)
+        self._watch_retry = asyncio.get_running_loop().call_later(wait_s, self.watch)
 
-    def _tell(self, listing: Listing | None) -> None:
+    def _deliver(self, listing: Listing | None) -> None:
         if listing is None and self._pushed:
             return
         try:
-            self._heard(listing)
-        except Exception:  # a fault of ours: what was told is lost, so the whole list is asked for again
-            log.exception("discovery: a list could not be taken up")
-            asyncio.get_running_loop().call_later(REPAIR_S, self.fetch)
+            self._on_listing(listing)
+        except Exception:  # an internal error: the listing is lost, so the full list is fetched again
+            log.exception("discovery: a listing could not be applied")
+            asyncio.get_running_loop().call_later(REFETCH_DELAY_S, self.fetch)
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -1,4 +1,4 @@
-"""The driver: it feeds what happens to the module and carries out what the module decides."""
+"""The node: passes events to the decision module and executes the actions that the module returns."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 METHODS = {api.Effect.SAFE: b"GET", api.Effect.KEYED: b"POST", api.Effect.UNSAFE: b"POST"}
-MODULE_EARLY_NS = 4 * MS  # the module's deadline comes so much before the client's, for the way back
-NODE_EARLY_NS = 3 * MS // 2  # and the node's own, for what the module left open
-LONGEST_DEADLINE_MS = 600_000
-RESERVED_DESCRIPTORS = 32  # for the loop, listening, discovery, peers, logs, and what closes a turn later
-FULL_RETRY_S = b"1"  # what a client is told that finds no room for its request
-SWEEP_S = 1.0
-WORDS_KEPT_S = 0.02  # a peer's message, which takes up to 33 ms on its way, waits so long to be read with others
-MAX_WORDS_KEPT = 64  # and with so many at most: what the loop holds up meanwhile is bounded
-STREAM_IDLE_TIMEOUT_NS = 15 * SECOND  # an answer on which nothing moved for so long has no reader or writer any more
-LEAVE_S = 3.4  # after SIGTERM, whatever is still open
+MODULE_DEADLINE_MARGIN_NS = 4 * MS  # the module's deadline is this much before the client's: time to respond
+NODE_DEADLINE_MARGIN_NS = 3 * MS // 2  # the node itself ends what the module left open this much before it
+MAX_DEADLINE_MS = 600_000
+RESERVED_DESCRIPTORS = 32  # event loop, listener, discovery, peers, logs, sockets that close one loop iteration later
+OVERLOAD_RETRY_AFTER_S = b"1"  # Retry-After of a request that is refused because the node has no capacity
+SWEEP_INTERVAL_S = 1.0
+PEER_MESSAGE_DELAY_S = 0.02  # a peer message waits this long to be batched with others; its transit takes up to 33 ms
+MAX_QUEUED_EVENTS = 64  # events per such batch, which bounds how long handling it blocks the event loop
+STREAM_IDLE_TIMEOUT_NS = 15 * SECOND  # no progress for this long: a streamed response has lost its reader or writer
+DRAIN_TIMEOUT_S = 3.4  # after SIGTERM, requests that are still open then are ended
 
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request that was taken and is not answered yet."""
+    """A request that was accepted and has no final response yet."""
 
     id: str
     client: ClientConnection
@@ -54,17 +54,17 @@
     deadline_ns: int
     class_name: str
     timer: asyncio.TimerHandle | None = None
-    sends: int = 0
+    sends: int = 0  # attempts so far
     exchange: Exchange | None = None
     finished: bool = False
-    last_progress_ns: int = 0  # its answer passes in pieces, and something last moved then; 0: none does
+    last_progress_ns: int = 0  # when data of its streamed response last moved; 0: the response is not streamed
 
 
-MakeConnectionAdmission = Callable[[int], ConnectionAdmission]  # of the number of places for connections
+MakeConnectionAdmission = Callable[[int], ConnectionAdmission]  # argument: the maximum number of connections
 
 
 class Node:
-    """One real balancer. Its list comes from platform discovery, unless another source is given."""
+    """One balancer on real sockets. Upstreams come from platform discovery unless another list source is given."""
 
     def __init__(
         self,
@@ -81,40 +81,41 @@
         self._loop = asyncio.get_running_loop()
         self._active_requests: dict[str, ActiveRequest] = {}
         self._by_client: dict[ClientConnection, ActiveRequest] = {}
-        self._active_request_ids: set[bytes] = set()  # that clients gave to their open requests
-        self._count = 0
+        self._active_request_ids: set[bytes] = set()  # the Req-Id of each active request
+        self._last_number = 0  # of active requests, which are numbered from 1
         self._closed = False
         self._events: list[api.Event] = []
-        self._feeding = False
-        self._module_timers: dict[str, asyncio.TimerHandle] = {}  # the module's, by name
-        self._reading: asyncio.TimerHandle | None = None  # peers' messages that wait to be read
+        self._handling_events = False
+        self._module_timers: dict[str, asyncio.TimerHandle] = {}  # timers that the module has set, by name
+        self._peer_message_timer: asyncio.TimerHandle | None = None  # set while peer messages wait to be handled
         self._stopping = False
         self._drained = asyncio.Event()
         self._sweep_timer: asyncio.TimerHandle | None = None
-        room = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
+        capacity = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
         self.tally = Tally(config.settings.classes)
         self._hub = Hub(
-            room, limits.connect_timeout_ns / SECOND, limits.conn_idle_ns / SECOND, stream=True, counter=self.tally
+            capacity, limits.connect_timeout_ns / SECOND, limits.conn_idle_ns / SECOND, stream=True, counter=self.tally
         )
-        self._streaming: dict[str, ActiveRequest] = {}  # whose answers pass in pieces
-        self.server = Server(self, room, system, self.tally, admission(room) if admission is not None else None)
+        self._streaming: dict[str, ActiveRequest] = {}  # requests whose responses are being streamed
+        self.server = Server(self, capacity, system, self.tally, admission(capacity) if admission is not None else None)
         self.frontend = Frontend(config, self.server)
-        self.upstream_set = UpstreamSet(config, self._hub, system, source, self.feed, self._call_off_waiting)
+        self.upstream_set = UpstreamSet(config, self._hub, system, source, self.feed, self._cancel_stale_waits)
         self.background = BackgroundAcquisition(self.tally)
-        self.port = 0  # where it listens for clients, once it does
-        self._peers = Peers(config.peers, config.peers_all, config.settings.me, self._peer_message)
-        self.plugins = PluginHost(self._peers.tell)
-        self._module_runner = ModuleRunner(module, self._facts)
+        self.port = 0  # the listening port for clients; 0 until it listens
+        self._peers = Peers(config.peers, config.peers_all, config.settings.me, self._on_peer_message)
+        self.plugins = PluginHost(self._peers.send)
+        self._module_runner = ModuleRunner(module, self._current_state)
         probe_path = b"/stats" if config.settings.report_columns else b"/health/live"
         self._probes = Probes(self._hub, probe_path, self.feed)
 
-    # -- start and end --
+    # -- start --
 
-    async def start(self, rest_s: float = 0.0) -> int:
-        """Take up the known list, then open to clients, though ready only after a rest; gives the port.
+    async def start(self, readiness_delay_s: float = 0.0) -> int:
+        """Load the cached list of upstreams, then listen for clients; returns the port.
 
-        Waits for the clients' address until it can be had; Unobtainable where that can never be."""
-        self.frontend.rest(rest_s)
+        Readiness is reported only after `readiness_delay_s`. Retries until the listening address can be bound; raises
+        Unobtainable if it never can be."""
+        self.frontend.rest(readiness_delay_s)
         self.upstream_set.start()
         await self._open_peers()
         if self.config.settings.discovery_push:
@@ -122,17 +123,17 @@
         self._sweep_idle()
 
         async def listen() -> int:
-            return self.frontend.open(rest_s)
+            return self.frontend.open(readiness_delay_s)
 
         self.port = await acquire("listening socket", listen, self.tally)
         return self.port
 
     async def _open_peers(self) -> None:
-        """Hear the peers, from now on or, where the machine does not allow it yet, from later on."""
+        """Bind the peers' UDP socket; if that fails for now, retry in the background."""
         address = self.config.peer_listen
         if address is None:
             return
-        # Another process of this balancer may have it too: the kernel deals the messages out between them.
+        # Another process of this balancer may have bound it too: the kernel distributes the datagrams between them.
         reuse_port = True if self.config.listen_fd is not None else None
 
         async def bind() -> None:
@@ -144,64 +145,66 @@
             self.background.start("peers' address", bind)
 
     def _sweep_idle(self) -> None:
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep_idle)
+        """Close expired connections, forget expired cordons and abort stalled streams; runs once per interval."""
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_idle)
         self._hub.expire()
-        self.upstream_set.sweep()
+        self.upstream_set.expire_cordons()
         stale = now_ns() - STREAM_IDLE_TIMEOUT_NS
-        for active in [c for c in self._streaming.values() if c.last_progress_ns < stale]:
-            log.info("an answer is cut: nothing of it has moved for %d s", STREAM_IDLE_TIMEOUT_NS // SECOND)
+        for active in [s for s in self._streaming.values() if s.last_progress_ns < stale]:
+            log.info("response aborted: no data moved for %d s", STREAM_IDLE_TIMEOUT_NS // SECOND)
             self._finish(active, 504)
 
     @property
     def ready(self) -> bool:
+        """Does the readiness check succeed?"""
         return self.frontend.ready
 
     @property
     def stopping(self) -> bool:
-        """The process ends: nothing new is taken up."""
+        """The process is shutting down: no new configuration is applied."""
         return self._stopping
 
-    # -- what operators ask --
+    # -- status for operators, and shutdown --
 
     @property
     def outstanding(self) -> int:
-        """Requests taken and not ended."""
+        """Number of active requests."""
         return len(self._active_requests)
 
     @property
     def discovered(self) -> int:
-        """Upstreams in the list."""
+        """Number of upstreams in the current list."""
         return len(self.upstream_set.membership.hosts)
 
     @property
     def ejected(self) -> int:
-        """Listed upstreams that are avoided now: by hand, or by the decisions."""
+        """Number of listed upstreams out of use now: cordoned by operators, or avoided by the module."""
         return self.upstream_set.cordoned + self._module_runner.avoided
 
     def standing(self) -> Mapping[str, object]:
-        """Why the decisions do what they do, in figures."""
+        """The module's internal figures, which explain its decisions."""
         return self._module_runner.standing()
 
     async def drain(self) -> None:
-        """A planned end: go on with what still comes, answer all of it, then close everything."""
-        end = self._loop.time() + LEAVE_S
+        """Shut down gracefully: answer all requests, including those that still arrive, then close everything."""
+        end = self._loop.time() + DRAIN_TIMEOUT_S
         self._stopping = True
         self.plugins.leave()
         await self.frontend.close_in_order(end)
         if self._active_requests:
-            self._drained.clear()  # it may have been quiet before the last ones came
+            self._drained.clear()  # it may have been set before the last requests arrived
             try:
                 await asyncio.wait_for(self._drained.wait(), end - self._loop.time())
             except TimeoutError:
-                log.warning("left with %d requests open", len(self._active_requests))
+                log.warning("drain timed out with %d requests open", len(self._active_requests))
         await self.frontend.flush(end)
         self.close()
         await self.upstream_set.source.stopped()
         await self._hub.stopped()
-        await asyncio.sleep(0)  # closed transports end in the loop's next turn
+        await asyncio.sleep(0)  # closed transports release their sockets in the next loop iteration
 
     def held(self) -> dict[str, int]:
-        """What is held for requests and clients, by kind: at rest, without clients, all is zero."""
+        """Resources held for requests and clients, by kind; all are zero when the node is idle and has no clients."""
         return {
             "calls": len(self._active_requests),
             "clients' calls": len(self._by_client),
@@ -213,14 +216,14 @@
         }
 
     def close(self) -> None:
-        """Stop everything at once; what is open fails, and nothing is begun any more."""
+        """Stop immediately: active requests fail, and nothing new is started."""
         self._closed = True
         self.background.stop()
         for active in list(self._active_requests.values()):
             self._finish(active, 504)
         self.frontend.stop()
         self.upstream_set.stop()
-        for timer in (*self._module_timers.values(), self._sweep_timer, self._reading):
+        for timer in (*self._module_timers.values(), self._sweep_timer, self._peer_message_timer):
             if timer is not None:
                 timer.cancel()
         self._probes.abandon()
@@ -233,42 +236,42 @@
     # -- the module --
 
     def feed(self, *events: api.Event) -> None:
-        """Hand events over; those raised while actions are carried out wait for their turn."""
+        """Pass events to the module and execute its actions; events raised meanwhile are queued for the next batch."""
         if self._closed:
-            return  # the last requests' ends must not make the module begin something
+            return  # the module must not start new work in response to the last requests' ends
         self._events += events
-        if self._feeding:
+        if self._handling_events:
             return
-        self._feeding = True
-        if self._reading is not None:
-            self._reading.cancel()
-            self._reading = None
+        self._handling_events = True
+        if self._peer_message_timer is not None:
+            self._peer_message_timer.cancel()
+            self._peer_message_timer = None
         try:
             while self._events:
                 batch, self._events = self._events, []
-                for action in self._module_runner.of(batch):
-                    self._carry_out_or_report(action)
+                for action in self._module_runner.handle(batch):
+                    self._execute_or_report(action)
         finally:
-            self._feeding = False
+            self._handling_events = False
 
-    def _wake(self, name: str) -> None:
+    def _timer_fired(self, name: str) -> None:
         self._module_timers.pop(name, None)
         self.feed(api.Wake(name))
 
-    def _facts(self, now: int) -> list[api.Event]:
-        """All that is true now, for a module that has failed."""
-        calls = {c.id: api.Held(c.sends, c.exchange is not None) for c in self._active_requests.values()}
-        return [api.Truth(calls), self.upstream_set.whole(now)]
+    def _current_state(self, now: int) -> list[api.Event]:
+        """The events that restore the state of a module that has failed: active requests and the full list."""
+        requests = {r.id: api.Held(r.sends, r.exchange is not None) for r in self._active_requests.values()}
+        return [api.Truth(requests), self.upstream_set.full_update(now)]
 
-    def _carry_out_or_report(self, action: api.Action) -> None:
-        """A fault in one action costs neither the others nor a request's answer: its timer still runs."""
+    def _execute_or_report(self, action: api.Action) -> None:
+        """Execute an action; an exception in it affects no other action, and the request's timer still runs."""
         try:
-            self._carry_out(action)
+            self._execute(action)
         except Exception as error:
             self.tally.call_failed("action", type(error).__name__)
-            log.exception("the action failed: %.200r", action)
+            log.exception("action failed: %.200r", action)
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
@@ -281,7 +284,7 @@
             case api.Probe():
                 self._probes.begin(action.upstream)
             case api.Tell():
-                self._peers.tell(action.data, action.peer)
+                self._peers.send(action.data, action.peer)
             case api.CloseIdle():
                 if (pool := self._hub.pools.get(action.upstream)) is not None:
                     pool.close_idle()
@@ -294,7 +297,7 @@
                 self.upstream_set.source.fetch()
             case api.SetTimer():
                 due = (self._module_runner.decided_ns + action.delay_ns) / SECOND
-                self._module_timers[action.name] = self._loop.call_at(due, self._wake, action.name)
+                self._module_timers[action.name] = self._loop.call_at(due, self._timer_fired, action.name)
             case api.Note():
                 log.info("module: %s", action.text)
             case _:
@@ -303,55 +306,57 @@
     # -- requests --
 
     def take(self, client: ClientConnection, request: Message, received_ns: int) -> None:
-        """A client's request: refused here only if it can't be understood or there is no room."""
-        name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
-        cls = self.config.settings.classes.get(name)
-        wait_ms = whole_number(request.header(b"req-deadline-ms"))
+        """Accept a client's request; it is refused here only if it is invalid or there is no capacity."""
+        class_name = request.target[1:].partition(b"?")[0].partition(b"/")[0].decode("latin-1")
+        request_class = self.config.settings.classes.get(class_name)
+        deadline_ms = whole_number(request.header(b"req-deadline-ms"))
         ids = [value for key, value in request.headers if key == b"req-id"]
         if request.method not in METHODS.values():
             client.answer(405, [(b"Allow", b"GET, POST")])
-        elif cls is None or len(ids) != 1 or not ids[0] or not wait_ms or b"#" in request.target:
+        elif request_class is None or len(ids) != 1 or not ids[0] or not deadline_ms or b"#" in request.target:
             client.answer(400)
-        elif request.method != METHODS[cls.effect]:
-            client.answer(405, [(b"Allow", METHODS[cls.effect])])
+        elif request.method != METHODS[request_class.effect]:
+            client.answer(405, [(b"Allow", METHODS[request_class.effect])])
         elif request.method == b"GET" and request.body:
-            client.answer(400)  # an upstream reads no body there and would take it for the next request
+            client.answer(400)  # upstreams ignore a GET body and would parse it as the next request
         elif ids[0] in self._active_request_ids:
-            client.answer(409)  # whose answer would it be?
+            client.answer(409)  # with two active requests of one id, a response could not be attributed
         elif self.frontend.away or self._limits.max_open and len(self._active_requests) >= self._limits.max_open:
-            self.tally.ended(name, 503)
-            client.answer(503, [(b"Retry-After", FULL_RETRY_S)])
+            self.tally.ended(class_name, 503)
+            client.answer(503, [(b"Retry-After", OVERLOAD_RETRY_AFTER_S)])
         else:
-            deadline = received_ns + min(wait_ms, LONGEST_DEADLINE_MS) * MS
-            self._open(client, request, name, deadline)
+            deadline = received_ns + min(deadline_ms, MAX_DEADLINE_MS) * MS
+            self._open(client, request, class_name, deadline)
 
-    def _open(self, client: ClientConnection, request: Message, name: str, deadline_ns: int) -> None:
-        self._count += 1
+    def _open(self, client: ClientConnection, request: Message, class_name: str, deadline_ns: int) -> None:
+        self._last_number += 1
         self._active_request_ids.add(request.header(b"req-id"))
-        active = ActiveRequest(str(self._count), client, request, deadline_ns, name)
+        active = ActiveRequest(str(self._last_number), client, request, deadline_ns, class_name)
         self._active_requests[active.id] = self._by_client[client] = active
-        active.timer = self._loop.call_at((deadline_ns - NODE_EARLY_NS) / SECOND, self._out_of_time, active)
-        cookies = (c.strip() for c in request.header(b"cookie").decode("latin-1").split(";"))
-        key = next((c[5:] for c in cookies if c.startswith("user=")), "")
+        active.timer = self._loop.call_at(
+            (deadline_ns - NODE_DEADLINE_MARGIN_NS) / SECOND, self._deadline_passed, active
+        )
+        cookies = (cookie.strip() for cookie in request.header(b"cookie").decode("latin-1").split(";"))
+        key = next((cookie[5:] for cookie in cookies if cookie.startswith("user=")), "")
         cost_us = whole_number(request.header(b"req-cost")) or 0
         self.feed(
             api.Arrival(
                 active.id,
-                name,
+                class_name,
                 request.header(b"req-owner").decode("latin-1"),
-                deadline_ns - MODULE_EARLY_NS,
+                deadline_ns - MODULE_DEADLINE_MARGIN_NS,
                 cost_us * 1000,
                 key,
                 request.header(b"req-retry") == b"1",
             )
         )
 
-    def _out_of_time(self, active: ActiveRequest) -> None:
+    def _deadline_passed(self, active: ActiveRequest) -> None:
         self._finish(active, 504)
         self.feed(api.ClientGone(active.id))
 
     def gone(self, client: ClientConnection) -> None:
-        """The client has closed its connection: nobody waits for the answer."""
+        """The client has closed its connection: cancel its request."""
         active = self._by_client.get(client)
         if active is not None:
             self._drop(active)
@@ -369,7 +374,7 @@
             self._finish(active, status, headers)
 
     def _finish(self, active: ActiveRequest, status: int, headers: Headers = (), body: bytes = b"") -> None:
-        """The one final answer."""
+        """Send the only final response; later calls have no effect."""
         if not active.finished:
             self._drop(active)
             self.tally.ended(active.class_name, status)
@@ -381,7 +386,7 @@
                 active.client.cut()
 
     def _drop(self, active: ActiveRequest) -> None:
-        """Forget the request and call off what is out for it."""
+        """Release the request's state and cancel its attempt in flight."""
         active.finished = True
         if active.timer is not None:
             active.timer.cancel()
@@ -399,10 +404,11 @@
     def _send(self, action: api.Send) -> None:
         now = now_ns()
         active = self._active_requests.get(action.request)
-        number = active.sends if active is not None else 0
+        attempt_number = active.sends if active is not None else 0
         pool = self._hub.pools.get(action.upstream)
-        # A stall since the decision must not push the time-out past the deadline: the module is told in time.
-        end = active.deadline_ns - NODE_EARLY_NS if active is not None else now
+        # The timeout counts from the decision: a stall of the process since then must not push it past the deadline, or
+        # the module would hear of it too late.
+        end = active.deadline_ns - NODE_DEADLINE_MARGIN_NS if active is not None else now
         if action.timeout_ns:
             end = min(end, self._module_runner.decided_ns + action.timeout_ns)
         if active is not None:
@@ -413,54 +419,54 @@
             or pool is None
             or not pool.ready
             or end <= now
-            or number >= self._limits.max_attempts
+            or attempt_number >= self._limits.max_attempts
         ):
-            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, active is None))
+            self.feed(api.Outcome(action.request, attempt_number, action.upstream, api.Result.MOOT, 0, active is None))
             return
         active.exchange = Exchange(
             pool,
-            lambda: self._attempt(active.request, end - now_ns()),
-            self._when_ended(active, number, action.upstream, now),
-            wrote=self._forwarded,
-            begin=self._when_begun(active, number, action.upstream, now),
+            lambda: self._attempt_bytes(active.request, end - now_ns()),
+            self._outcome_handler(active, attempt_number, action.upstream, now),
+            wrote=self._count_forward,
+            begin=self._stream_handler(active, attempt_number, action.upstream, now),
         )
         active.exchange.start(end / SECOND)
 
-    def _forwarded(self) -> None:
+    def _count_forward(self) -> None:
         self.tally.forwards += 1
 
-    def _attempt(self, request: Message, timeout_ns: int) -> bytes:
+    def _attempt_bytes(self, request: Message, timeout_ns: int) -> bytes:
         headers = [(k, v) for k, v in request.end_to_end() if k != b"req-deadline-ms"]
         headers.append((b"Req-Deadline-Ms", b"%d" % max(1, timeout_ns // MS)))
         return write_request(request.method, request.target, headers, request.body)
 
-    def _when_ended(
-        self, active: ActiveRequest, number: int, upstream: int, sent_ns: int
+    def _outcome_handler(
+        self, active: ActiveRequest, attempt_number: int, upstream: int, sent_ns: int
     ) -> Callable[[api.Result, Message | None], None]:
-        def ended(result: api.Result, response: Message | None) -> None:
-            held_here_ns = int(active.exchange.held_here_s * SECOND) if active.exchange is not None else 0
+        def on_end(result: api.Result, response: Message | None) -> None:
+            local_wait_ns = int(active.exchange.held_here_s * SECOND) if active.exchange is not None else 0
             active.exchange = None
-            took = now_ns() - sent_ns - held_here_ns
+            took = now_ns() - sent_ns - local_wait_ns
             if response is not None:
-                result = _judged(response)
+                result = _result_of(response)
             if active.last_progress_ns:
                 self._finish(active, 200 if result is api.Result.OK else 504)
             elif result is api.Result.OK and response is not None:
                 headers = [(k, v) for k, v in response.end_to_end() if k != b"srv-load"]
                 self._finish(active, 200, headers, response.body)
-            report = self._report(response) if self.config.settings.reports_in_answers else None
-            self.feed(api.Outcome(active.id, number, upstream, result, took, active.finished, report))
+            report = self._load_report(response) if self.config.settings.reports_in_answers else None
+            self.feed(api.Outcome(active.id, attempt_number, upstream, result, took, active.finished, report))
 
-        return ended
+        return on_end
 
-    def _when_begun(self, active: ActiveRequest, number: int, upstream: int, sent_ns: int) -> Begin:
-        """What takes an answer that is passed on as it comes: one piece is on its way at a time."""
+    def _stream_handler(self, active: ActiveRequest, attempt_number: int, upstream: int, sent_ns: int) -> Begin:
+        """The callback for a streamed response: reading pauses while the client has not taken the last piece."""
 
-        def begun(exchange: Exchange, head: Message) -> PassOn | None:
+        def on_start(exchange: Exchange, head: Message) -> PassOn | None:
             if active.finished:
                 return None
             if active.timer is not None:
-                active.timer.cancel()  # from its first byte on, only what moves counts
+                active.timer.cancel()  # from the first byte on, only the idle timeout applies
             active.last_progress_ns = now_ns()
             self._streaming[active.id] = active
 
@@ -474,12 +480,12 @@
                     exchange.hold(True)
 
             active.client.begin([(k, v) for k, v in head.end_to_end() if k != b"srv-load"], head.length, writable)
-            self.feed(api.AnswerBegun(active.id, number, upstream, active.last_progress_ns - sent_ns))
+            self.feed(api.AnswerBegun(active.id, attempt_number, upstream, active.last_progress_ns - sent_ns))
             return pass_on
 
-        return begun
+        return on_start
 
-    def _report(self, response: Message | None) -> dict[str, float] | None:
+    def _load_report(self, response: Message | None) -> dict[str, float] | None:
         return load_report(response.header(b"srv-load")) if response is not None else None
 
     def _cancel(self, action: api.Cancel) -> None:
@@ -487,29 +493,32 @@
         if active is not None and active.exchange is not None and action.attempt == active.sends - 1:
             active.exchange.finish(api.Result.CANCELLED)
 
-    # -- probes, lists, peers --
+    # -- changes of the list, and peers --
+
+    def _cancel_stale_waits(self) -> None:
+        """Cancel attempts that wait for a connection to an upstream which drains, is gone or has moved.
 
-    def _call_off_waiting(self) -> None:
-        """No first byte may go to an upstream that drains, is gone or has moved, also not when its connection is up."""
+        No first byte may go there, even if the connection is established by then."""
         for active in list(self._active_requests.values()):
             if active.exchange is not None and active.exchange.astray:
                 active.exchange.finish(api.Result.MOOT)
 
-    def _peer_message(self, sender: int, data: bytes) -> None:
-        """A peer's message is read with whatever is decided next, or by itself a little later.
+    def _on_peer_message(self, sender: int, data: bytes) -> None:
+        """Queue a peer's message for the next batch of events, or for a short timer if no other event comes first.
 
-        Nothing is decided on it alone but who of those that wait goes next, and most are followed at once."""
-        if self._closed or self.plugins.heard(sender, data):
+        The wait costs little: the only decision that rests on such a message alone is which waiting request goes next,
+        and most messages are soon followed by another event."""
+        if self._closed or self.plugins.receive(sender, data):
             return
         self._events.append(api.PeerMessage(sender, data))
-        if len(self._events) >= MAX_WORDS_KEPT:
+        if len(self._events) >= MAX_QUEUED_EVENTS:
             self.feed()
-        elif self._reading is None:
-            self._reading = self._loop.call_later(WORDS_KEPT_S, self.feed)
+        elif self._peer_message_timer is None:
+            self._peer_message_timer = self._loop.call_later(PEER_MESSAGE_DELAY_S, self.feed)
 
 
-def _judged(response: Message) -> api.Result:
-    """An attempt's result by what came back: only a marked 503 or 504 proves that it never ran."""
+def _result_of(response: Message) -> api.Result:
+    """Classify an attempt's response: only a 503 or 504 with Srv-Declined proves that the request did not run."""
     if response.status == 200:
         return api.Result.OK
     if response.status in (503, 504) and response.header(b"srv-declined") == b"1":
--- a/lanemux/net/plugin_host.py
+++ b/lanemux/net/plugin_host.py
@@ -1,4 +1,4 @@
-"""Carries the messages of what is plugged in, and rings its ticks."""
+"""Delivers messages to plugins, sends theirs, and runs their timers."""
 
 from __future__ import annotations
 
@@ -12,39 +12,41 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000_000
-FAILURES_LOGGED_NS = 10 * SECOND  # one failure in so long is told with its trace
+FAILURE_LOG_INTERVAL_NS = 10 * SECOND  # at most one failure in this interval is logged with its traceback
 
 
 class PluginHost:
-    """Those of one balancer. A fault in one costs what came with it, and neither the others nor any request."""
+    """The plugins of one balancer. An exception in one loses its input, but affects no other plugin and no request."""
 
-    def __init__(self, tell: Callable[[bytes, int], None]) -> None:
-        """`tell` sends a datagram to a peer."""
-        self._tell = tell
+    def __init__(self, send: Callable[[bytes, int], None]) -> None:
+        """`send` sends a datagram to a peer."""
+        self._send = send
         self._plugins: dict[int, Plugin] = {}  # by the first byte of their messages
-        self._timers: dict[int, tuple[int, asyncio.TimerHandle]] = {}  # due, and what rings then
-        self._failed_ns = -FAILURES_LOGGED_NS
+        self._timers: dict[int, tuple[int, asyncio.TimerHandle]] = {}  # due time and timer handle, by first byte
+        self._last_logged_ns = -FAILURE_LOG_INTERVAL_NS
         self._closed = False
 
     def add(self, plugin: Plugin) -> None:
-        """Plug one in; ValueError where another has its messages or its name."""
+        """Add a plugin; raises ValueError if another one has the same first byte or name."""
         if plugin.first in self._plugins or plugin.name in self.sections:
-            raise ValueError(f"{plugin.name}: another has its messages or its name")
+            raise ValueError(f"{plugin.name}: another plugin has the same first byte or name")
         self._plugins[plugin.first] = plugin
-        self._after(plugin)
+        self._send_and_schedule(plugin)
 
     @property
     def sections(self) -> dict[str, Plugin]:
-        """By name."""
+        """The plugins by name."""
         return {plugin.name: plugin for plugin in self._plugins.values()}
 
     def section(self, name: str) -> Mapping[str, object] | None:
-        """What one tells operators; None: nothing of that name is plugged in."""
+        """A plugin's section of the admin interface; None: there is no plugin of that name."""
         plugin = self.sections.get(name)
         return None if plugin is None else plugin.section(now_ns())
 
-    def heard(self, sender: int, data: bytes) -> bool:
-        """A peer's message; False: it is one of the words between the decisions. One of nobody's is left unread."""
+    def receive(self, sender: int, data: bytes) -> bool:
+        """Deliver a peer's message to its plugin; returns False if it is for the decision module.
+
+        A message that belongs to no plugin is ignored."""
         first = first_byte(data)
         if first is None:
             return False
@@ -54,39 +56,39 @@
         return True
 
     def leave(self) -> None:
-        """The process ends in order."""
+        """Tell the plugins that the process shuts down gracefully."""
         for plugin in self._plugins.values():
             self._run(plugin, plugin.leave)
 
     def close(self) -> None:
-        """Nothing is sent and nothing rings any more."""
+        """Stop sending, and cancel all timers."""
         self._closed = True
         for _, timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
 
-    def _run(self, plugin: Plugin, what: Callable[[int], None]) -> None:
+    def _run(self, plugin: Plugin, call: Callable[[int], None]) -> None:
         now = now_ns()
         try:
-            what(now)
+            call(now)
         except Exception:
-            if now >= self._failed_ns + FAILURES_LOGGED_NS:
-                self._failed_ns = now
+            if now >= self._last_logged_ns + FAILURE_LOG_INTERVAL_NS:
+                self._last_logged_ns = now
                 log.exception("%s failed", plugin.name)
-        self._after(plugin)
+        self._send_and_schedule(plugin)
 
-    def _after(self, plugin: Plugin) -> None:
-        for to, data in plugin.take_out():
-            self._tell(data, to)
+    def _send_and_schedule(self, plugin: Plugin) -> None:
+        for peer, data in plugin.take_out():
+            self._send(data, peer)
         due, known = plugin.due_ns, self._timers.get(plugin.first)
         if self._closed or (known is not None and known[0] == due):
             return
         if known is not None:
             known[1].cancel()
-        # A due time that does not move on must not keep the loop from everything else.
+        # A due time that does not advance must not starve the event loop: wait at least 1 ms.
         at = max(due, now_ns() + SECOND // 1000)
-        self._timers[plugin.first] = due, asyncio.get_running_loop().call_at(at / SECOND, self._ring, plugin)
+        self._timers[plugin.first] = due, asyncio.get_running_loop().call_at(at / SECOND, self._tick, plugin)
 
-    def _ring(self, plugin: Plugin) -> None:
+    def _tick(self, plugin: Plugin) -> None:
         del self._timers[plugin.first]
         self._run(plugin, plugin.tick)
--- a/lanemux/net/upstream_set.py
+++ b/lanemux/net/upstream_set.py
@@ -1,4 +1,4 @@
-"""The list: where it comes from, what of it counts, and the connections that follow it."""
+"""The list of upstreams: its source, the entries in effect, and the connection pools that follow it."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 
 
 class UpstreamSet:
-    """The upstreams as a source lists them, less those that are displaced or out by hand.
+    """The upstreams that a source lists, without displaced ones and with the operators' cordons applied.
 
-    `told` takes each news for the decisions, `strayed` is called when attempts may wait for a connection to an upstream
-    that is not to get them any more."""
+    An upstream is displaced if a newer one has its address. `on_update` receives each change for the decision module.
+    `on_targets_changed` is called when attempts may be waiting for a connection to an upstream that must not get them
+    any more."""
 
     def __init__(
         self,
@@ -33,86 +34,88 @@
         hub: Hub,
         system: System,
         source: MakeSource | None,
-        told: Callable[[api.ListUpdate], None],
-        strayed: Callable[[], None],
+        on_update: Callable[[api.ListUpdate], None],
+        on_targets_changed: Callable[[], None],
     ) -> None:
         self._config, self._hub, self._wall_ns = config, hub, system.wall_ns
-        self._told, self._on_targets_changed = told, strayed
+        self._on_update, self._on_targets_changed = on_update, on_targets_changed
         offset_ns = system.wall_ns() - now_ns()
-        self.membership = Membership(offset_ns)  # as last told
+        self.membership = Membership(offset_ns)  # the rows as last received
         self._addresses = Addresses()
         self._cordons = Cordons(offset_ns, config.settings.rules.cold_ns)
-        self.persist_cordon: Callable[[Word], bool] = lambda word: True  # for the process beside this one; was it kept?
-        self.source = (source or self._platform)(self.membership, random.Random(config.seed + 1), self.apply_listing)
-        self.pending_source: ListSource | None = None  # is to replace it, and has not told a whole list yet
+        self.persist_cordon: Callable[[Word], bool] = lambda word: True  # True if stored for the other process
+        self.source = (source or self._make_discovery)(
+            self.membership, random.Random(config.seed + 1), self.apply_listing
+        )
+        self.pending_source: ListSource | None = None  # replaces `source` with its first full list
 
-    def _platform(self, membership: Membership, rng: random.Random, heard: Heard) -> ListSource:
-        return Discovery(self._config.discovery, membership, self._config.settings.discovery_push, rng, heard)
+    def _make_discovery(self, membership: Membership, rng: random.Random, on_listing: Heard) -> ListSource:
+        return Discovery(self._config.discovery, membership, self._config.settings.discovery_push, rng, on_listing)
 
     def start(self) -> None:
-        """Take up the list that was known before the start, and watch where changes are pushed."""
+        """Apply the cached list from the configuration, if it has one."""
         entries = []
         if self._config.known is not None:
             try:
                 listing = read_listing(self._config.known, self.membership, now_ns(), current=False)
-            except BadList as error:  # it may be old anyway: one that can't be read is as none
-                log.warning("list: the known one is left out: %.120s", error)
+            except BadList as error:  # the cached list may be outdated anyway: an unreadable one is ignored
+                log.warning("list: the cached list is ignored: %.120s", error)
             else:
                 self.source.take_known(listing)
-                entries = [e.upstream for e in self._settle(listing)]
-        self._told(api.ListUpdate(api.ListKind.CACHED, entries))
+                entries = [e.upstream for e in self._apply(listing)]
+        self._on_update(api.ListUpdate(api.ListKind.CACHED, entries))
 
-    def sweep(self) -> None:
-        """Once in a while: nothing is kept that nobody needs."""
+    def expire_cordons(self) -> None:
+        """Forget cordons that were lifted so long ago that they have no effect any more; called periodically."""
         self._cordons.forget(now_ns())
 
-    # -- where it comes from --
+    # -- the source --
 
     def move_discovery(self, address: Address) -> None:
-        """The configuration names another address for discovery; without effect where the list comes from elsewhere."""
+        """Switch platform discovery to another address; no effect if the list comes from another source."""
         if isinstance(self.source, Discovery):
             self.source.move(address)
 
     def replace_source(self, make: MakeSource | None) -> None:
-        """Take the list from another source (None: platform discovery) from its first whole list on.
+        """Switch to another source (None: platform discovery) once it has delivered its first full list.
 
-        Until then the old one counts: what it tells is acted on, and a new one that never answers costs nothing."""
+        Until then the old source stays in effect, so a new one that never answers changes nothing."""
         if self.pending_source is not None:
-            self.pending_source.stop()  # of several in a row the last one counts
+            self.pending_source.stop()  # of several replacements in a row only the last takes effect
 
-        def heard(listing: Listing | None) -> None:
-            if listing is not None and successor is self.pending_source:
+        def on_listing(listing: Listing | None) -> None:
+            if listing is not None and new_source is self.pending_source:
                 self.source.stop()
-                self.source, self.pending_source = successor, None
-            if successor is self.source:
+                self.source, self.pending_source = new_source, None
+            if new_source is self.source:
                 self.apply_listing(listing)
 
-        successor = (make or self._platform)(self.membership, random.Random(self._config.seed + 2), heard)
-        self.pending_source = successor
-        successor.watch()
+        new_source = (make or self._make_discovery)(self.membership, random.Random(self._config.seed + 2), on_listing)
+        self.pending_source = new_source
+        new_source.watch()
 
     def stop(self) -> None:
-        """The end of its sources begins."""
+        """Begin to stop the sources."""
         self.source.stop()
         if self.pending_source is not None:
             self.pending_source.stop()
 
-    # -- by hand --
+    # -- cordons --
 
     @property
     def cordoned(self) -> int:
-        """Listed upstreams that are out by hand."""
-        return sum(h in self.membership.hosts for h in self._cordons.hosts)
+        """Number of listed upstreams that are cordoned."""
+        return sum(host in self.membership.hosts for host in self._cordons.hosts)
 
     def knows(self, host: str) -> bool:
-        """Is this upstream in the list, or out by hand?"""
+        """Is this upstream listed or cordoned?"""
         return host in self.membership.hosts or self._cordons.out(host)
 
     def cordon(self, host: str, out: bool) -> bool:
-        """Leave an upstream out, or use it again, from now on; False where that can't be kept."""
+        """Cordon an upstream (`out`) or lift its cordon; returns False if that can't be stored."""
         if self._cordons.out(host) is out:
             known = self._cordons.word(host)
-            return known is None or self.persist_cordon(known)  # it may not have been kept the first time
+            return known is None or self.persist_cordon(known)  # storing it may have failed the first time
         word = self._cordons.said(host, out, self._wall_ns())
         if not self._cordons.room(host):
             return False
@@ -120,49 +123,49 @@
         return self.persist_cordon(word)
 
     def apply_cordon(self, word: Word) -> None:
-        """An operator's word, said here or to a process beside this one."""
+        """Apply an operator's command, given to this process or to the other process of this balancer."""
         if self._cordons.hear(word):
-            log.info("by hand: %.80s is %s", word.host, "left out" if word.out else "used again")
-            entries = self._connect([e for e in self._addresses.listed() if e.host == word.host])
+            log.info("operators: %.80s is %s", word.host, "cordoned" if word.out else "uncordoned")
+            entries = self._update_pools([e for e in self._addresses.listed() if e.host == word.host])
             if entries:
-                self._told(api.ListUpdate(api.ListKind.DELTA, [e.upstream for e in entries]))
+                self._on_update(api.ListUpdate(api.ListKind.DELTA, [e.upstream for e in entries]))
 
-    # -- what counts --
+    # -- the entries in effect --
 
     def apply_listing(self, listing: Listing | None) -> None:
-        """What a source tells; None: a call of it failed."""
+        """Apply a listing from the source; None: a call to it failed."""
         if listing is None:
-            self._told(api.ListUpdate(api.ListKind.FAILED))
+            self._on_update(api.ListUpdate(api.ListKind.FAILED))
             return
-        entries = self._settle(listing)
+        entries = self._apply(listing)
         if listing.whole or entries:
             kind = api.ListKind.FULL if listing.whole else api.ListKind.DELTA
-            self._told(api.ListUpdate(kind, [e.upstream for e in entries]))
+            self._on_update(api.ListUpdate(kind, [e.upstream for e in entries]))
 
-    def whole(self, now: int) -> api.ListUpdate:
-        """All that counts now."""
+    def full_update(self, now: int) -> api.ListUpdate:
+        """The full list now in effect."""
         listed = [e.upstream for e in self._cordons.handed_on(self._addresses.listed(), now)]
         return api.ListUpdate(api.ListKind.FULL, listed)
 
-    def _settle(self, listing: Listing) -> list[Entry]:
-        """Connections follow the list; the entries that the decisions are to know."""
-        return self._connect(self._addresses.settle(listing.entries, listing.whole), listing.whole)
+    def _apply(self, listing: Listing) -> list[Entry]:
+        """Resolve address conflicts and update the pools; returns the entries to pass to the module."""
+        return self._update_pools(self._addresses.settle(listing.entries, listing.whole), listing.whole)
 
-    def _connect(self, told: list[Entry], whole: bool = False) -> list[Entry]:
-        """Connections follow these entries, as operators want them to be known."""
-        pools, entries = self._hub.pools, self._cordons.handed_on(told, now_ns())
-        left_out = set(pools) - {e.upstream.id for e in entries} if whole else set()
+    def _update_pools(self, listed: list[Entry], whole: bool = False) -> list[Entry]:
+        """Update the connection pools to these entries; returns the entries with cordons applied."""
+        pools, entries = self._hub.pools, self._cordons.handed_on(listed, now_ns())
+        removed = set(pools) - {e.upstream.id for e in entries} if whole else set()
         for entry in entries:
             if entry.upstream.state is api.State.GONE:
-                left_out.add(entry.upstream.id)
+                removed.add(entry.upstream.id)
                 continue
             pool = pools.setdefault(entry.upstream.id, Pool(self._hub, entry.address))
             pool.move(entry.address)
             pool.ready = entry.upstream.state is api.State.READY
             if not pool.ready:
                 pool.close_idle()
-        for number in left_out & set(pools):
-            pool = pools.pop(number)
+        for upstream_id in removed & set(pools):
+            pool = pools.pop(upstream_id)
             pool.ready = False
             pool.close_idle()
         self._on_targets_changed()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Helpers of the socket tests: a scripted module, a client, an upstream and a discovery, all on loopback."""
+"""Helpers for socket tests: a scripted decision module, a client, a fake upstream and a fake discovery, on loopback."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lanemux.net.node import MakeConnectionAdmission, Node
 
 HOST = "127.0.0.1"
-PATIENCE_S = 10.0  # a test that waits longer has failed
+PATIENCE_S = 10.0  # the longest time that a test waits for a condition
 MS = 1_000_000
 NUMBERS = itertools.count()
 
@@ -30,17 +30,17 @@
     asyncio.run(asyncio.wait_for(test, 3 * PATIENCE_S))
 
 
-async def until(true: Callable[[], object]) -> None:
-    """Wait for something to become true."""
+async def until(condition: Callable[[], object]) -> None:
+    """Wait until a condition holds."""
     end = time.monotonic() + PATIENCE_S
-    while not true():
-        assert time.monotonic() < end, "never became true"
+    while not condition():
+        assert time.monotonic() < end, "the condition never became true"
         await asyncio.sleep(0.001)
 
 
 @dataclass
 class Got:
-    """A message as it came, read by hand and not by the code under test."""
+    """A received message, parsed independently of the code under test."""
 
     first: str
     headers: dict[str, str]
@@ -63,7 +63,7 @@
 
 
 async def silent(got: Got, writer: Writer) -> None:
-    """Answers nothing."""
+    """Send no response."""
 
 
 def answers(status: int, body: bytes = b"", *headers: str) -> Answer:
@@ -87,7 +87,7 @@
 
 
 class Upstream:
-    """A server that notes what comes and answers as told."""
+    """A fake upstream: records requests and answers them with `answer`."""
 
     def __init__(self, answer: Answer) -> None:
         self.answer = answer
@@ -119,21 +119,21 @@
 
 
 class Registry:
-    """A discovery: its list, changed by `change`, and each call as it came."""
+    """A fake discovery: serves the list `rows`, which `change` updates, and records its calls."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Json] = {}
         self.version = 1
         self.calls: list[tuple[float, str]] = []
-        self.broken = b""  # what it answers instead, while it is broken
+        self.broken = b""  # if set, sent as the response in place of the list
         self._changed = asyncio.Event()
-        self._news: list[str] = []
+        self._changed_hosts: list[str] = []
         self.upstream = Upstream(self._answer)
 
     def change(self, host: str, **row: object) -> None:
         self.rows[host] = {**entry(host), **self.rows.get(host, {}), **row}
         self.version += 1
-        self._news.append(host)
+        self._changed_hosts.append(host)
         self._changed.set()
 
     async def _answer(self, got: Got, writer: Writer) -> None:
@@ -146,8 +146,8 @@
         if watch:
             await self._changed.wait()
         self._changed.clear()
-        hosts = [self.rows[h] for h in self._news] if watch else list(self.rows.values())
-        self._news.clear()
+        hosts = [self.rows[h] for h in self._changed_hosts] if watch else list(self.rows.values())
+        self._changed_hosts.clear()
         body = json.dumps({"seq": self.version, "whole": not watch, "hosts": hosts}).encode()
         writer.write(written(200, body))
 
@@ -172,19 +172,19 @@
 
 @dataclass
 class Script:
-    """Stands in for the module: notes the events, and does what the test says."""
+    """A scripted decision module: records events, and returns the actions of `react`."""
 
     react: Callable[[api.Event], Iterable[api.Action]] = lambda event: ()
     events: list[api.Event] = field(default_factory=list)
-    entered: int = 0
-    deepest: int = 0
+    depth: int = 0
+    max_depth: int = 0
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
-        self.entered += 1
-        self.deepest = max(self.deepest, self.entered)
+        self.depth += 1
+        self.max_depth = max(self.max_depth, self.depth)
         self.events += events
         actions = [a for e in events for a in self.react(e)]
-        self.entered -= 1
+        self.depth -= 1
         return actions
 
     def avoided(self, now: int) -> int:
@@ -197,7 +197,7 @@
         return [e for e in self.events if isinstance(e, kind)]
 
     def ids(self) -> list[int]:
-        """The numbers of the upstreams, as last listed whole."""
+        """The ids of the upstreams in the last update that was not a delta."""
         lists = [e for e in self.of(api.ListUpdate) if e.kind is not api.ListKind.DELTA]
         return [u.id for u in lists[-1].upstreams]
 
@@ -222,7 +222,7 @@
     admission: MakeConnectionAdmission | None = None,
     **limits: Any,
 ) -> AsyncIterator[Client]:
-    """A node that knows these upstreams, and a client of it."""
+    """Run a node that knows these upstreams; yields a client of it."""
     registry = registry or Registry()
     await registry.upstream.start()
     config = Config(
@@ -247,7 +247,7 @@
 
 
 class Client:
-    """One connection to the node, and requests on it."""
+    """A client with one connection to the node."""
 
     def __init__(self, balancer: Node, port: int) -> None:
         self.node = balancer
@@ -269,7 +269,7 @@
         return await self.read()
 
     async def closed(self) -> bool:
-        """The node closes the connection."""
+        """Wait until the node closes the connection; False if data came before that."""
         assert self.reader is not None
         return await asyncio.wait_for(self.reader.read(), PATIENCE_S) == b""
 
@@ -289,7 +289,7 @@
     body: bytes = b"",
     name: str = "",
 ) -> bytes:
-    """A client's request, with an id of its own unless the test names one."""
+    """A client's request, with a unique id unless the test gives one."""
     name = name or f"{next(NUMBERS):08x}"
     lines = [f"{method} {target} HTTP/1.1", "Host: service.internal", f"Req-Id: {name}", *more]
     if deadline_ms is not None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list and the watch on it, over loopback sockets."""
+"""Platform discovery over loopback sockets: parsing lists, watching for changes, and switching addresses."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     written,
 )
 
-HEARD_NS = 10**18  # later than any start that a row here tells
+HEARD_NS = 10**18  # later than any start time in the rows of these tests
 
 
 class Reader(Membership):
-    """Membership, told by discovery's answers."""
+    """A Membership that parses discovery's lists."""
 
     def read(self, raw: object) -> Listing:
         return read_listing(raw, self, HEARD_NS)
@@ -42,7 +42,7 @@
     return source
 
 
-TOLD_S = 6.0  # what discovery has to tell counts as told after this at the latest
+MAX_NOTICE_S = 6.0  # a balancer counts as informed of a change after this time at the latest
 
 
 def test_a_host_has_the_same_number_everywhere() -> None:
@@ -130,7 +130,7 @@
 
         def react(event: api.Event) -> tuple[()]:
             if isinstance(event, api.ListUpdate) and event.kind is api.ListKind.DELTA:
-                asking.append(platform(client)._watch_call is not None)  # before the change is acted on
+                asking.append(platform(client)._watch_call is not None)  # must precede handling the change
             return ()
 
         script = Script(react)
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize(("step", "calls"), [(0, 12), (1, 30)])
 def test_a_discovery_that_answers_at_once_is_not_asked_without_pause(step: int, calls: int) -> None:
-    """With its whole list for ever, which is no news (step 0), or with a change each time."""
+    """Step 0: it always sends the same full list, without changes. Step 1: each answer has a change."""
 
     async def test() -> None:
         registry, script = Registry(), Script()
@@ -168,21 +168,21 @@
         async with node(script, registry=registry, known_list=known(5)):
             await until(lambda: len(registry.calls) >= calls)
             assert registry.calls[calls - 1][0] - registry.calls[0][0] > 1.0
-            told = len(script.of(api.ListUpdate))
-            assert told >= calls - 1  # what it says is taken each time
+            updates = len(script.of(api.ListUpdate))
+            assert updates >= calls - 1  # every answer is applied
 
     run(test())
 
 
 def test_a_watch_that_is_lost_in_silence_is_asked_anew_before_its_news_count_as_told() -> None:
-    # Guards against sending to an upstream whose drain was told on a connection that had died unseen.
+    # Guards against sending to an upstream whose drain was announced on a connection that had died unnoticed.
     async def test() -> None:
         registry, script = Registry(), Script()
-        heard: Answer = registry.upstream.answer
+        normal_answer: Answer = registry.upstream.answer
 
         async def first_is_lost(got: Got, writer: Writer) -> None:
             if registry.calls:
-                await heard(got, writer)
+                await normal_answer(got, writer)
             else:
                 registry.calls.append((time.monotonic(), got.first))
 
@@ -192,7 +192,7 @@
             registry.change("s0", health="draining")
             await until(lambda: len(script.of(api.ListUpdate)) == 2)
             assert script.of(api.ListUpdate)[1].upstreams[0].state is api.State.DRAINING
-            assert time.monotonic() - registry.calls[0][0] < TOLD_S
+            assert time.monotonic() - registry.calls[0][0] < MAX_NOTICE_S
 
     run(test())
 
@@ -258,7 +258,7 @@
 
 
 def hosts(script: Script) -> list[int]:
-    """The numbers of upstreams in the last whole list."""
+    """The ids of the upstreams in the last full list."""
     return [u.id for u in [e for e in script.of(api.ListUpdate) if e.kind is api.ListKind.FULL][-1].upstreams]
 
 
@@ -276,13 +276,13 @@
         new = await second("s8", "s9")
         async with node(script, registry=old, known_list=known(5)) as client:
             await until(lambda: old.calls)
-            left = platform(client)._client
+            old_client = platform(client)._client
             client.node.upstream_set.move_discovery((HOST, new.upstream.port))
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
             assert len(hosts(script)) == 2 and len(client.node._hub.pools) == 2
-            assert left._pool.hub.open == 0
+            assert old_client._pool.hub.open == 0
             new.change("s7")
             await until(lambda: len(client.node._hub.pools) == 3)
         new.upstream.stop()
@@ -317,7 +317,7 @@
             old.broken = written(503)
             old.change("s1")  # the watch ends
             await until(lambda: platform(client)._watch_call is None)
-            assert platform(client)._retry is None
+            assert platform(client)._watch_retry is None
             new.broken = b""
             await until(lambda: len(new.calls) > 1 and "after=3" in new.calls[-1][1])
         new.upstream.stop()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The driver over loopback sockets: requests, attempts and their outcomes, with a scripted module."""
+"""The node over loopback sockets: requests, attempts and their outcomes, with a scripted decision module."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 def sends_first(
     script: Script, then: Callable[[api.Event], Iterable[api.Action]] = lambda e: (), timeout_ns: int = 0
 ) -> None:
-    """Each request goes to the first upstream; what follows its outcome is up to the test."""
+    """Send each request to the first upstream; `then` handles all other events."""
 
     def react(event: api.Event) -> Iterable[api.Action]:
         if isinstance(event, api.Arrival):
@@ -119,7 +119,7 @@
             begun = time.monotonic()
             got = await client.ask(request())
             assert got.status == 503 and got.headers["retry-after"] == "0.437"
-            assert time.monotonic() - begun < 2.5  # of the five seconds that the client would wait
+            assert time.monotonic() - begun < 2.5  # the client would wait five seconds
 
     run(test())
 
@@ -164,7 +164,7 @@
             got = await client.ask(request())
             assert got.status == (200 if result is Result.OK else 504)
             assert [o.result for o in script.of(api.Outcome)] == [result]
-            assert len(upstream.got) == 1  # nothing is sent again by itself
+            assert len(upstream.got) == 1  # the node itself does not retry
 
     run(test())
 
@@ -246,7 +246,7 @@
 
 
 def test_nothing_is_out_or_begun_once_a_node_is_closed() -> None:
-    """Storm seed 880186: a look at a box was coming up when the drain's end came, and outlived it."""
+    """Storm seed 880186: a probe was connecting when the drain ended, and outlived the node."""
 
     async def test() -> None:
         upstream = await Upstream(silent).start()
@@ -264,7 +264,7 @@
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: any("/read" in got.first for got in upstream.got))
-            client.node.feed(api.Wake("now"))  # these are coming up
+            client.node.feed(api.Wake("now"))  # these probes are connecting
             client.node.close()
             await client.node._hub.stopped()
             assert len(sent) == 1 and not client.node.held()["probes"] and not client.node._hub.open
@@ -287,7 +287,7 @@
         async with node(script, upstream) as client:
             draining = asyncio.create_task(client.node.drain())
             await until(lambda: not client.node.ready)
-            assert (await client.ask(request())).status == 200  # for a moment none is open
+            assert (await client.ask(request())).status == 200  # afterwards no request is active
             assert client.node._drained.is_set()
             late = client.another()
             await late.send(request("/read/late"))
@@ -322,7 +322,7 @@
             await until(lambda: client.node._streaming)
             await until(lambda: client.node.server._listener is None)
             assert not draining.done()
-            for transport in (mine, side._transport):  # small buffers would take long
+            for transport in (mine, side._transport):  # sending through small buffers would take long
                 for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
                     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 1 << 20)
             mine.resume_reading()
@@ -364,7 +364,7 @@
         held: list[asyncio.StreamWriter] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            held.append(writer)  # reads nothing: what is sent stays with the sender
+            held.append(writer)  # reads nothing: the data stays in the sender's buffers
 
         server = await asyncio.start_server(serve, HOST, 0, limit=1)
         script = Script()
@@ -421,13 +421,13 @@
             ended: list[bytes] = []
             script = Script()
 
-            def look(event: api.Event) -> Iterable[api.Action]:
+            def read_end(event: api.Event) -> Iterable[api.Action]:
                 if isinstance(event, api.Outcome) and event.result is Result.TIMEOUT:
-                    ended.append(accepted[0].recv(65536))  # an end, where nothing else is to be read
+                    ended.append(accepted[0].recv(65536))  # b"": the connection was closed
                     return [api.Fail(event.request)]
                 return ()
 
-            sends_first(script, look, timeout_ns=30 * MS)
+            sends_first(script, read_end, timeout_ns=30 * MS)
             async with node(script, known_list=known(listener.getsockname()[1])) as client:
                 await client.send(request())
                 loop = asyncio.get_running_loop()
@@ -493,8 +493,8 @@
             await until(lambda: upstream.closed == 1)
             outcomes = {(o.attempt, o.result, o.complete) for o in script.of(api.Outcome)}
             assert outcomes == {(1, Result.MOOT, False), (0, Result.CANCELLED, True), (0, Result.MOOT, True)}
-            assert len(upstream.got) == 1 and script.deepest == 1
-            assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 200  # one answer only
+            assert len(upstream.got) == 1 and script.max_depth == 1
+            assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 200  # only one response came
 
     run(test())
 
@@ -536,7 +536,7 @@
         def react(event: api.Event) -> Iterable[api.Action]:
             if isinstance(event, api.Arrival):
                 timeout = event.deadline_ns - time.monotonic_ns()
-                time.sleep(0.02)  # the process gets no core for a while
+                time.sleep(0.02)  # stands for a stall of the process
                 return [api.Send(event.request, script.ids()[0], timeout), api.SetTimer(timeout, "end")]
             if isinstance(event, api.Outcome) and event.result is Result.TIMEOUT:
                 return [api.Refuse(event.request)]
@@ -567,7 +567,7 @@
 
 
 def hold_connections(monkeypatch: pytest.MonkeyPatch, until_set: asyncio.Event) -> None:
-    """New connections come up only once the event is set."""
+    """Delay new connections until the event is set."""
     loop = asyncio.get_running_loop()
     original = loop.create_connection
 
@@ -579,7 +579,7 @@
 
 
 async def send_held(client: Client, script: Script, monkeypatch: pytest.MonkeyPatch, up: asyncio.Event) -> None:
-    """A request that waits for its connection to an upstream."""
+    """Send a request whose attempt then waits for its connection to an upstream."""
     await client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
     await client.read()
     hold_connections(monkeypatch, up)
@@ -606,7 +606,7 @@
             assert (await client.read()).status == 504
             up.set()
             assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT]
-            assert (await client.ask(request())).status == 504  # nor does a new one go there
+            assert (await client.ask(request())).status == 504  # a new request is not sent there either
             assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT] * 2
             assert not upstream.got
 
@@ -616,7 +616,7 @@
 def test_a_send_that_waits_for_its_connection_is_called_off_when_its_upstream_moves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a host that is made anew elsewhere: whatever listens at its old address is another's.
+    # Guards against sending to the old address of a host that was recreated elsewhere: another may listen there now.
     async def test() -> None:
         old, new = await Upstream(answers(200)).start(), await Upstream(answers(200)).start()
         script = Script()
@@ -624,7 +624,7 @@
         up = asyncio.Event()
         async with node(script, old) as client:
             await send_held(client, script, monkeypatch, up)
-            await asyncio.sleep(0)  # its connection is under way to the old address
+            await asyncio.sleep(0)  # its connection to the old address is being established
             moved = {"seq": 2, "whole": False, "hosts": known(new.port)["hosts"]}
             client.node.upstream_set.apply_listing(read_listing(moved, client.node.upstream_set.membership, now_ns()))
             assert (await client.read()).status == 504
@@ -638,7 +638,7 @@
 
 
 def test_a_connection_whose_upstream_moved_while_a_request_was_out_is_not_used_again() -> None:
-    """Found by seed 1345: the next request went to where the upstream had been, to another one that drained."""
+    """Found by seed 1345: the next request reused the connection to the old address, where another upstream drained."""
 
     async def test() -> None:
         answer = asyncio.Event()
@@ -675,7 +675,7 @@
                 assert upstream.opened == opened
                 if len(upstream.got) == 2:
                     pool = next(iter(client.node._hub.pools.values()))
-                    pool.idle[0].idle_since -= 12.5  # as if it had stood for so long
+                    pool.idle[0].idle_since -= 12.5  # as if it had been idle for this long
             await until(lambda: upstream.closed == 1)
 
     run(test())
@@ -691,7 +691,7 @@
             pool = next(iter(client.node._hub.pools.values()))
             transport = pool.idle[0]._transport
             assert transport is not None
-            transport.close()  # what the transport does on an end; the pool hears of it a turn later
+            transport.close()  # as on EOF; the pool is told one loop iteration later
             ended: list[Result] = []
             pool.exchange(b"GET /read HTTP/1.1\r\n\r\n", None, lambda result, response: ended.append(result))
             assert not ended
@@ -706,7 +706,7 @@
         upstream = await Upstream(silent).start()
         script = Script()
         sends_first(script, fails_unserved)
-        async with node(script, upstream, sockets=32 + 16) as client:  # so eight on either side
+        async with node(script, upstream, sockets=32 + 16) as client:  # leaves eight connections on either side
             others = [client.another() for _ in range(8)]
             for other in others[:7]:
                 await other.send(request())
@@ -722,7 +722,7 @@
     run(test())
 
 
-def heard(script: Script, probes: int) -> bool:
+def probed(script: Script, probes: int) -> bool:
     return len(script.of(api.ProbeResult)) == probes
 
 
@@ -759,7 +759,7 @@
         async with node(script, upstream) as client:
             for i in range(4):
                 client.node.feed(api.Wake("now"))
-                await until(partial(heard, script, i + 1))
+                await until(partial(probed, script, i + 1))
             script.react = lambda e: [api.Probe(99)] if isinstance(e, api.Wake) else ()
             client.node.feed(api.Wake("now"))
         assert upstream.got[0].first == "GET /stats HTTP/1.1" and upstream.opened == 1
@@ -810,7 +810,7 @@
             )
             nodes.append(Node(config, script))
             await nodes[-1].start()
-        more = [api.Tell(b"of nobody's kind", 1)]  # what only a later version reads
+        more = [api.Tell(b"of nobody's kind", 1)]  # a message type that only a later version reads
         scripts[0].react = lambda e: (
             [api.Tell(b"for one", 1), api.Tell(b"for all"), api.Tell(b"no word", 9), api.Tell(b"x" * 259), *more]
             if isinstance(e, api.Wake)
@@ -826,7 +826,7 @@
 
 
 def test_requests_that_wait_behind_a_standstill_at_the_end_of_a_drain_are_answered() -> None:
-    """More connections than one turn accepts came up while the process stood still past its last accept."""
+    """More connections than one loop iteration accepts arrived while the process stalled past its last accept."""
 
     async def test() -> None:
         upstream = await Upstream(answers(200, b"it")).start()
@@ -838,7 +838,7 @@
             callers = [socket.create_connection(("127.0.0.1", client.port)) for _ in range(3 * ACCEPTS_PER_TURN)]
             for caller in callers:
                 caller.sendall(request())
-            time.sleep(LATE_ARRIVALS_S)  # the standstill: nothing else runs
+            time.sleep(LATE_ARRIVALS_S)  # the stall: nothing else runs
             await draining
             for caller in callers:
                 caller.settimeout(5)
@@ -874,7 +874,7 @@
             assert len(told) == 2 and told[0].calls == {"1": api.Held(1, True), "2": api.Held(0)}
             last = script.of(api.ListUpdate)[-1]
             assert last.kind is api.ListKind.FULL and [u.id for u in last.upstreams] == script.ids()
-            assert caplog.text.count("the module failed") == 1  # of faults that follow each other one is told
+            assert caplog.text.count("the module failed") == 1  # of consecutive failures only one is logged
             waiting.close()
 
     run(test())
--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -92,7 +92,7 @@
         "moot-untold",
         "past mend: a Send that can't be carried out has its Outcome",
         NODE,
-        "            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, active is None))\n",
+        "            self.feed(api.Outcome(action.request, attempt_number, action.upstream, api.Result.MOOT, 0, active is None))\n",
         "",
     ),
     _one(
