--- a/lanemux/net/admission.py
+++ b/lanemux/net/admission.py
@@ -1,4 +1,4 @@
-"""The seam for what bounds the clients' connections, where operators have that switched on."""
+"""Interface of the admission control for client connections, which operators can switch on."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 
 
 class ConnectionAdmission(Protocol):
-    """Who is let in when many connect at once, where operators have that bounded. A source is a host's address."""
+    """Decides which connections are kept when many clients connect at once. A source is a client host's address."""
 
     def begin_accepting(self, now: int) -> int:
-        """Accepting begins: how many connections at the most before other work has its turn."""
+        """Accepting begins; returns how many connections to accept at most before other work gets its turn."""
 
     def end_accepting(self, accepted: int, now: int) -> None:
-        """And ends, with so many accepted."""
+        """Accepting ends, with `accepted` new connections."""
 
     def opened(self, source: str, who: object) -> None:
-        """A connection has come up; it is silent so far."""
+        """A connection was opened; the client has sent nothing yet."""
 
     def became_active(self, source: str, who: object) -> None:
-        """It is silent no longer."""
+        """The client has sent its first data."""
 
     def closed(self, source: str, who: object) -> None:
-        """Its place is free."""
+        """The connection is closed, which frees its slot."""
 
     def victim(self, source: str) -> object | None:
-        """Who goes for one more of this source: a silent one of its own, if it holds its part of the places."""
+        """The connection to close in favour of a new one from this source, or None.
+
+        It is a silent one of the same source, if that source holds its share of the slots."""
--- a/lanemux/net/config.py
+++ b/lanemux/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one balancer: what the platform's file and environment hold."""
+"""The configuration of one balancer, from the platform's file and environment variables."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from lanemux.drill import read_settings
 from lanemux.net.http import read_json
 
-MAX_CONFIG_BYTES = 16 * 1024 * 1024  # a known list of 10,000 upstreams takes some 2 MiB
-INCOMPLETE_PATIENCE_S = 1.0  # a file that is being written is whole by then
+MAX_CONFIG_BYTES = 16 * 1024 * 1024  # a cached list of 10,000 upstreams takes about 2 MiB
+INCOMPLETE_PATIENCE_S = 1.0  # a file that is being written is complete by then
 DEFAULT_SOCKETS = 1024
 
 ADMIN_VARIABLE = "RELAY_ADMIN_ADDR"
@@ -22,22 +22,22 @@
 
 
 class BadConfig(Exception):
-    """The configuration is missing or can't be used."""
+    """The configuration is missing or unusable."""
 
 
 class UnreadableConfig(BadConfig, MomentaryError):
-    """Reading the file failed in a way that passes."""
+    """Reading the file failed with a transient error."""
 
 
 class IncompleteConfig(BadConfig, MomentaryError):
-    """The file is missing or ends too early: it may be on its way to its place."""
+    """The file is missing or truncated: it may still be being written."""
 
     patience_s = INCOMPLETE_PATIENCE_S
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a balancer is told at its start."""
+    """The configuration that a balancer starts with."""
 
     name: str
     listen: Address
@@ -45,19 +45,19 @@
     seed: int
     sockets: int
     settings: api.Settings
-    known: object = None  # the last known list, in discovery's form
+    known: object = None  # the cached list of upstreams, in discovery's format
     peer_listen: Address | None = None
     peers: list[Address] = field(default_factory=list)
     peers_all: Address | None = None
-    cores: float = 0.0  # share of a processor; 0: not told
-    admin: Address | None = None  # the operators' second address
-    listen_fd: int | None = None  # the clients' listening socket, where the platform holds it
+    cores: float = 0.0  # processor quota in cores; 0: unknown
+    admin: Address | None = None  # address of the admin interface
+    listen_fd: int | None = None  # descriptor of the client listener, if the platform passes one on
 
 
 def read_config(path: str, system: System | None = None) -> Config:
-    """The configuration in a file.
+    """Read the configuration from a file.
 
-    Raises UnreadableConfig or IncompleteConfig where a later try may succeed, else BadConfig."""
+    Raises UnreadableConfig or IncompleteConfig if a later attempt may succeed, else BadConfig."""
     try:
         text = (system or Machine()).read(path, MAX_CONFIG_BYTES).decode()
     except FileNotFoundError as error:
@@ -99,9 +99,10 @@
 
 
 def from_environment(config: Config, environment: Mapping[str, str]) -> Config:
-    """What the platform tells a process beside the file: two processes of a balancer read the same one.
+    """Apply the settings that the platform passes in environment variables.
 
-    Raises BadConfig for a variable that can't be read."""
+    They differ between the two processes of a balancer, which read the same file. Raises BadConfig for an invalid
+    variable."""
     admin, descriptor = environment.get(ADMIN_VARIABLE), environment.get(LISTEN_FD_VARIABLE)
     try:
         if admin:
--- a/lanemux/net/daemon.py
+++ b/lanemux/net/daemon.py
@@ -1,4 +1,4 @@
-"""One real balancer: reads its configuration, runs the node, ends on a signal."""
+"""The balancer process: reads the configuration, runs the node, and ends on a signal."""
 
 from __future__ import annotations
 
@@ -29,104 +29,106 @@
 
 log = logging.getLogger(__name__)
 
-MAX_READINESS_DELAY_S = 1.0  # with little of a processor, serving slowly beats not serving
-STANDING_S = 1.0
-THROTTLE_LAG_S = 0.15  # a stop may come so long after the time was spent
+MAX_READINESS_DELAY_S = 1.0  # with a small processor quota, serving slowly is better than not serving
+STATUS_INTERVAL_S = 1.0
+THROTTLE_LAG_S = 0.15  # throttling may begin this long after the quota was exceeded
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-HANDLED_SIGNALS = (*END_SIGNALS, signal.SIGHUP)  # blocked while there is nothing that could handle them
+HANDLED_SIGNALS = (*END_SIGNALS, signal.SIGHUP)  # blocked while no handlers are installed
 
-STARTS = 5  # of one process, where what ends one is a fault of the program
+MAX_STARTS = 5  # within one process, when unexpected exceptions end the balancer
 FAILED_STATUS = 1
 UNUSABLE_STATUS = 2
 
-MakeModule = Callable[[Settings, int, int], Module]  # of settings, a seed and the clock
+MakeModule = Callable[[Settings, int, int], Module]  # arguments: settings, seed, time in ns
 
 
 class Extension(Protocol):
-    """What is added to a node where the platform asks for it: the operators' address, what a new version takes."""
+    """Optional parts of a node that the platform's configuration enables: the admin interface, the takeover."""
 
     def start(self) -> None:
-        """Before the node starts. What can't be had yet is tried again later."""
+        """Called before the node starts; resources that are not available yet are retried in the background."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release everything."""
 
 
-MakeExtension = Callable[[Node, System], Extension]  # where an operators' address or an inherited listener is told
+MakeExtension = Callable[[Node, System], Extension]  # called if an admin address or an inherited listener is configured
 
 
 @dataclass
 class StopRequest:
-    """Whether a signal has asked the process to end."""
+    """Records whether a signal has asked the process to end."""
 
-    made: bool = False
+    received: bool = False
 
 
 def readiness_delay_s(cores: float, spent_s: float) -> float:
-    """How long until the processor time that the start has cost is paid for out of the share of it.
+    """How long to delay readiness until the processor quota covers the processor time that the start has used.
 
-    Guards against saying ready on credit: a process that has overspent is stopped until it is even, and the
-    first clients would wait out that stop. Harm: a restarted balancer is back some tenths of a second later;
-    clients that come all the same are served."""
+    A process that has exceeded its quota is throttled until it is within it again, and without the delay the first
+    clients would wait that long. The cost: a restarted balancer is ready some tenths of a second later. Clients that
+    connect before that are served."""
     return min(MAX_READINESS_DELAY_S, spent_s / cores + THROTTLE_LAG_S) if cores > 0 else 0.0
 
 
 def block_signals() -> None:
-    """From now on signals wait until something handles them; none is lost, and none ends the process."""
+    """Block the handled signals: they stay pending until handlers are installed, and do not end the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 async def serve(
     config: Config,
     path: str,
-    lists: ListSourceSetting | None = None,
+    list_source: ListSourceSetting | None = None,
     system: System | None = None,
     module: MakeModule = Balancer,
-    made: Callable[[Node], None] = lambda node: None,
+    on_node_created: Callable[[Node], None] = lambda node: None,
     admission: MakeConnectionAdmission | None = None,
     extend: MakeExtension | None = None,
     stages: Stages | None = None,
     stop_request: StopRequest | None = None,
 ) -> None:
-    """One balancer on the running loop, until SIGTERM or SIGINT has ended it; `made` is told of its node before it
-    starts. `stages`: what the start has cost so far; `stop_request` notes such a signal. Raises Unobtainable where its
-    address can't be had at all."""
+    """Run one balancer on the running loop until SIGTERM or SIGINT has ended it.
+
+    `on_node_created` is called with the node before it starts. `stages` holds the start's stages so far, and
+    `stop_request` records those signals. Raises Unobtainable if the listening address can never be bound."""
     system = system or Machine()
     stages = stages or Stages(system)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     request = stop_request or StopRequest()
 
-    def end() -> None:
-        request.made = True
+    def on_end_signal() -> None:
+        request.received = True
         stop.set()
 
     for number in END_SIGNALS:
-        loop.add_signal_handler(number, end)
-    source = lists.current if lists is not None else None
+        loop.add_signal_handler(number, on_end_signal)
+    source = list_source.current if list_source is not None else None
     node = Node(config, module(config.settings, config.seed, now_ns()), source, system, admission)
     if isinstance(loop, EventLoop):
         loop.counter = node.tally
-    made(node)
-    reloader = Reloader(path, config, node, lists, system)
+    on_node_created(node)
+    reloader = Reloader(path, config, node, list_source, system)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    reporting: asyncio.Task[None] | None = None
-    asked = config.admin is not None or config.listen_fd is not None
-    extension = extend(node, system) if extend is not None and asked else None
+    status_task: asyncio.Task[None] | None = None
+    extensible = config.admin is not None or config.listen_fd is not None
+    extension = extend(node, system) if extend is not None and extensible else None
     try:
         if extension is not None:
             extension.start()
         if await _start(node, readiness_delay_s(config.cores, system.spent_s()), stop):
-            stages.passed("list and sockets")
+            stages.complete("list and sockets")
             log.info(
                 "%s: started: %s; %d balancers, %d upstreams",
                 config.name,
-                stages.told(),
+                stages.summary(),
                 len(config.peers),
                 node.discovered,
             )
             log.info("%s: ready on port %d", config.name, node.port)
             if log.isEnabledFor(logging.DEBUG):
-                reporting = loop.create_task(_report_standing(config.name, node))
+                status_task = loop.create_task(_log_status(config.name, node))
             await stop.wait()
         log.info("%s: stopping", config.name)
         await _end(node)
@@ -135,25 +137,25 @@
         raise
     finally:
         reloader.stop()
-        if reporting is not None:
-            reporting.cancel()
+        if status_task is not None:
+            status_task.cancel()
         if extension is not None:
             extension.close()
-        log.info("%s: ended: %s; %d requests open", config.name, stages.told_at_end(), node.outstanding)
+        log.info("%s: ended: %s; %d requests open", config.name, stages.final_summary(), node.outstanding)
 
 
 async def _end(node: Node) -> None:
-    """A planned end. What fails in it leaves no request without its answer."""
+    """Drain the node. If that fails, the remaining requests are answered at once."""
     try:
         await node.drain()
     except Exception:
-        log.exception("%s: the end failed; what is open is answered now", node.config.name)
+        log.exception("%s: draining failed; open requests are answered now", node.config.name)
         node.close()
 
 
-async def _start(node: Node, for_s: float, stop: asyncio.Event) -> bool:
-    """Start the node; False if the process is told to end before the node serves."""
-    starting = asyncio.create_task(node.start(for_s))
+async def _start(node: Node, ready_after_s: float, stop: asyncio.Event) -> bool:
+    """Start the node; returns False if the process is asked to end before the node serves."""
+    starting = asyncio.create_task(node.start(ready_after_s))
     stopped = asyncio.create_task(stop.wait())
     await asyncio.wait((starting, stopped), return_when=asyncio.FIRST_COMPLETED)
     stopped.cancel()
@@ -169,10 +171,10 @@
     return False
 
 
-async def _report_standing(name: str, node: Node) -> None:
-    """Once a second, why the decisions do what they do."""
+async def _log_status(name: str, node: Node) -> None:
+    """Log the module's internal figures once a second."""
     while True:
-        await asyncio.sleep(STANDING_S)
+        await asyncio.sleep(STATUS_INTERVAL_S)
         log.debug("%s: standing %s", name, json.dumps(node.standing(), separators=(",", ":")))
 
 
@@ -180,7 +182,7 @@
     handler = NonBlockingHandler()
     handler.addFilter(LogRateLimit())
     logging.basicConfig(level=level.upper(), handlers=[handler], format="%(asctime)s %(levelname)s %(message)s")
-    logging.raiseExceptions = False  # a log that can't be written must not be answered with more output
+    logging.raiseExceptions = False  # a failure to write the log must not cause more output
 
 
 def _read_configuration(path: str | None, system: System) -> Config:
@@ -191,19 +193,21 @@
 
 
 def main(
-    lists: ListSourceSetting | None = None,
+    list_source: ListSourceSetting | None = None,
     module: MakeModule = Balancer,
     admission: MakeConnectionAdmission | None = None,
     extend: MakeExtension | None = None,
     level: str = "info",
-    made: Callable[[Node], None] = lambda node: None,
+    on_node_created: Callable[[Node], None] = lambda node: None,
 ) -> int:
-    """One balancer until a signal ends it; its list is platform discovery's unless the operators say otherwise."""
+    """Run one balancer until a signal ends it; returns the exit status.
+
+    Upstreams come from platform discovery unless `list_source` names another source."""
     _log_to_standard_error(level)
     block_signals()
     system = Machine()
     stages = Stages(system)
-    stages.passed("imports")
+    stages.complete("imports")
     path = os.environ.get("RELAY_CONFIG")
 
     stop_request = StopRequest()
@@ -213,23 +217,23 @@
             await serve(
                 config,
                 path or "",
-                lists,
+                list_source,
                 module=module,
-                made=made,
+                on_node_created=on_node_created,
                 admission=admission,
                 extend=extend,
                 stages=stages,
                 stop_request=stop_request,
             )
         finally:
-            block_signals()  # what comes while the process ends waits for nobody
+            block_signals()  # the loop's handlers go with the loop; later signals stay pending
 
     try:
         config = _read_configuration(path, system)
-        stages.passed("configuration")
+        stages.complete("configuration")
         return _run_until_ended(lambda: run(config), config.name, system, stop_request)
     except Interrupted:
-        log.info("ended before it had started")
+        log.info("ended by a signal during the start")
         return 0
     except (BadConfig, Unobtainable) as error:
         print(f"lanemux: {error}", file=sys.stderr)
@@ -237,7 +241,7 @@
 
 
 def _run_on(loop: EventLoop, work: Coroutine[None, None, None]) -> None:
-    """Run to its end, then what it left behind. (`asyncio.run` handles SIGINT itself, which may fail.)"""
+    """Run `work`, then end the tasks that it left. (`asyncio.run` installs its own SIGINT handler, which may fail.)"""
     try:
         loop.run_until_complete(work)
     finally:
@@ -246,20 +250,20 @@
 
 
 async def _end_tasks() -> None:
-    """Cancel the other tasks of this loop, and wait for their ends."""
-    left = asyncio.all_tasks() - {asyncio.current_task()}
-    for task in left:
+    """Cancel the other tasks of this loop, and wait for them."""
+    remaining = asyncio.all_tasks() - {asyncio.current_task()}
+    for task in remaining:
         if task is not None:
             task.cancel()
-    await asyncio.gather(*left, return_exceptions=True)
+    await asyncio.gather(*remaining, return_exceptions=True)
 
 
 def _run_until_ended(
     run: Callable[[], Coroutine[None, None, None]], name: str, system: System, stop_request: StopRequest
 ) -> int:
-    """Run one balancer, and again where a fault of the program ended it without being told to; gives the status."""
+    """Run one balancer, and restart it if an unexpected exception ends it; returns the exit status."""
     backoff = Backoff()
-    for _ in range(STARTS):
+    for _ in range(MAX_STARTS):
         loop = wait_for("event loop", EventLoop, system)
         try:
             _run_on(loop, run())
@@ -268,9 +272,9 @@
             raise Unobtainable(f"{name}: {error}") from error
         except Exception:
             log.exception("%s: failed", name)
-        if stop_request.made or system.told_to_end():
+        if stop_request.received or system.told_to_end():
             return 0
-        log.warning("%s: starts anew", name)
+        log.warning("%s: restarting", name)
         system.sleep(backoff.next_s())
-    log.error("%s: failed %d times; it ends", name, STARTS)
+    log.error("%s: failed %d times; exiting", name, MAX_STARTS)
     return FAILED_STATUS
--- a/lanemux/net/log_limit.py
+++ b/lanemux/net/log_limit.py
@@ -1,4 +1,4 @@
-"""A bound on the lines that a balancer logs."""
+"""Limits the rate of log lines."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LogRateLimit(logging.Filter):
-    """Lets so many log lines a second through, and says how many it kept back."""
+    """Passes LINES_PER_SECOND log lines a second, and reports how many it dropped."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -18,7 +18,7 @@
         second = int(record.created)
         if second != self._second:
             if self._dropped:
-                record.msg, record.args = f"{record.getMessage()} ({self._dropped} lines left out)", ()
+                record.msg, record.args = f"{record.getMessage()} ({self._dropped} lines dropped)", ()
             self._second, self._lines, self._dropped = second, 0, 0
         self._lines += 1
         self._dropped += self._lines > LINES_PER_SECOND
--- a/lanemux/net/reload.py
+++ b/lanemux/net/reload.py
@@ -1,4 +1,4 @@
-"""New configurations in service (SIGHUP)."""
+"""Reloads the configuration of a running balancer (SIGHUP)."""
 
 from __future__ import annotations
 
@@ -18,59 +18,61 @@
 
 
 class ListSourceSetting:
-    """Where the list comes from, as the operators' file says it now."""
+    """The list source that the operators' file currently names."""
 
     def __init__(self, read: Callable[[], MakeSource | None]) -> None:
-        """`read` gives the source that the file names, the same object or an equal one while it names the same; it
-        raises ValueError for a file that can't be used."""
+        """`read` returns the source that the file names, and an equal object as long as the file names the same source;
+        it raises ValueError for an unusable file."""
         self._read = read
         self.current = read()
 
     def reload(self, node: Node) -> None:
-        """Take up the file as it is now; a bad one changes nothing."""
+        """Read the file again and switch the source if it names another; an unusable file changes nothing."""
         try:
             new = self._read()
         except ValueError as error:
-            log.warning("reload: %s; the old operators' file stays", error)
+            log.warning("reload: %s; the old operators' file stays in effect", error)
             return
         if new != self.current:
-            log.info("reload: the list is to come from another source")
+            log.info("reload: switching to another list source")
             self.current = new
             node.upstream_set.replace_source(new)
 
 
 class Reloader:
-    """Takes up a new configuration as far as that goes without a restart; a bad one changes nothing."""
+    """Applies a new configuration as far as possible without a restart; an unusable one changes nothing."""
 
-    def __init__(self, path: str, old: Config, node: Node, lists: ListSourceSetting | None, system: System) -> None:
+    def __init__(
+        self, path: str, old: Config, node: Node, list_source: ListSourceSetting | None, system: System
+    ) -> None:
         self._path = path
         self._old = old
         self._node = node
-        self._lists = lists
+        self._list_source = list_source
         self._system = system
         self._retry: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
-        """Read the files now; one that can't be read for a moment is read again later."""
+        """Read the files now; a configuration that can't be read for a moment is retried."""
         if self._node.stopping:
             return
-        if self._lists is not None:
-            self._lists.reload(self._node)
-        self._try(Backoff())
+        if self._list_source is not None:
+            self._list_source.reload(self._node)
+        self._read_or_retry(Backoff())
 
     def stop(self) -> None:
-        """Nothing is read any more."""
+        """Cancel the pending retry."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
 
-    def _try(self, backoff: Backoff) -> None:
-        self.stop()  # of several reloads in a row the last one counts
+    def _read_or_retry(self, backoff: Backoff) -> None:
+        self.stop()  # of several reloads in a row only the last takes effect
         try:
             new = read_config(self._path, self._system)
         except BadConfig as error:
             if isinstance(error, MomentaryError) and backoff.paused_s < error.patience_s:
-                self._retry = asyncio.get_running_loop().call_later(backoff.next_s(), self._try, backoff)
+                self._retry = asyncio.get_running_loop().call_later(backoff.next_s(), self._read_or_retry, backoff)
                 return
             log.warning("%s: reload: %s; the old configuration stays", self._old.name, error)
             self._node.tally.reloads_refused += 1
@@ -82,5 +84,5 @@
         log.info("%s: reload: discovery at %s:%d", self._old.name, *new.discovery)
         for name in NEEDS_RESTART:
             if getattr(new, name) != getattr(self._old, name):
-                log.warning("%s: reload: another %s needs a restart", self._old.name, name)
+                log.warning("%s: reload: a change of %s needs a restart", self._old.name, name)
         self._node.upstream_set.move_discovery(new.discovery)
--- a/lanemux/net/stages.py
+++ b/lanemux/net/stages.py
@@ -1,4 +1,4 @@
-"""What a start costs, stage by stage, for the log: an operator finds there where a slow one spent its time."""
+"""The processor time of each stage of the start, for the log: it shows operators why a start was slow."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class Stages:
-    """The stages of one process's start, in the order in which they were passed."""
+    """The stages of one process's start, in order of completion."""
 
     def __init__(self, system: System) -> None:
         self._system = system
-        self._passed: list[tuple[str, float]] = []  # name, and the processor time in s that was spent when it ended
+        self._completed: list[tuple[str, float]] = []  # name, and the process's processor time in s at its end
 
-    def passed(self, name: str) -> None:
-        """A stage has ended."""
-        self._passed.append((name, self._system.spent_s()))
+    def complete(self, name: str) -> None:
+        """Record the end of a stage."""
+        self._completed.append((name, self._system.spent_s()))
 
-    def told(self) -> str:
-        """Processor time of each stage, in ms, and the most memory so far, in MiB."""
-        said, before = [], 0.0
-        for name, spent in self._passed:
-            said.append(f"{name} {(spent - before) * 1000:.0f}")
+    def summary(self) -> str:
+        """Processor time of each stage, in ms, and peak memory so far, in MiB."""
+        parts, before = [], 0.0
+        for name, spent in self._completed:
+            parts.append(f"{name} {(spent - before) * 1000:.0f}")
             before = spent
-        return f"{', '.join(said) or 'no stage'} ms of processor; {self._memory()}"
+        return f"{', '.join(parts) or 'no stage'} ms of processor; {self._peak_memory()}"
 
-    def told_at_end(self) -> str:
-        """Processor time of the process's whole life, in s, and the most memory it had."""
-        return f"{self._system.spent_s():.2f} s of processor; {self._memory()}"
+    def final_summary(self) -> str:
+        """Total processor time of the process, in s, and its peak memory."""
+        return f"{self._system.spent_s():.2f} s of processor; {self._peak_memory()}"
 
-    def _memory(self) -> str:
+    def _peak_memory(self) -> str:
         return f"{self._system.most_kib() / KIB:.1f} MiB at most"
--- a/lanemux/net/startup.py
+++ b/lanemux/net/startup.py
@@ -1,4 +1,4 @@
-"""What a start needs from the machine is tried again until it can be had."""
+"""Retries for resources that a start needs from the machine."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class Interrupted(Exception):
-    """A signal asks the process to end before what it waited for was there."""
+    """A signal asked the process to end while it waited for a resource."""
 
 
 def wait_for(what: str, attempt: Callable[[], T], system: System) -> T:
-    """Call `attempt` until it succeeds, where no event loop runs yet.
+    """Call `attempt` until it succeeds; for use before an event loop runs.
 
-    Raises Interrupted where a signal asks for the end, Unobtainable for an OSError that lasts, and what `attempt`
-    raised once its patience is over."""
-    backoff, told = Backoff(), ""
+    Raises Interrupted if a signal asks the process to end, Unobtainable for a permanent OSError, and the MomentaryError
+    of `attempt` after its `patience_s`."""
+    backoff, logged_reason = Backoff(), ""
     while True:
         try:
             return attempt()
@@ -36,44 +36,44 @@
             if backoff.paused_s >= error.patience_s:
                 raise
             reason = str(error) if error.patience_s > backoff.paused_s + 1 else ""
-        if reason and reason != told:
+        if reason and reason != logged_reason:
             log.warning("%s: %s; is tried again", what, reason)
-            told = reason
+            logged_reason = reason
         system.sleep(backoff.next_s())
         if system.told_to_end():
             raise Interrupted(what)
 
 
 async def acquire(what: str, attempt: Callable[[], Awaitable[T]], counter: FailureCounter) -> T:
-    """Call `attempt` until it succeeds; each kind of failure is logged once. Unobtainable for an OSError that lasts."""
-    backoff, told = Backoff(), set[str]()
+    """Call `attempt` until it succeeds; each kind of failure is logged once. Unobtainable for a permanent OSError."""
+    backoff, logged_reasons = Backoff(), set[str]()
     while True:
         try:
-            made = await attempt()
+            acquired = await attempt()
         except OSError as error:
             reason = name_of(error)
             counter.call_failed(what, reason)
             if is_lasting(error):
                 raise Unobtainable(f"{what}: {error}") from error
-            if reason not in told:
-                told.add(reason)
+            if reason not in logged_reasons:
+                logged_reasons.add(reason)
                 log.warning("%s: %s; is tried again", what, error)
         else:
-            if told:
+            if logged_reasons:
                 log.info("%s is there now", what)
-            return made
+            return acquired
         await asyncio.sleep(backoff.next_s())
 
 
 class BackgroundAcquisition:
-    """Something optional that is tried again in the background until it is there; service does not wait for it."""
+    """Acquires optional resources in the background, with retries; service does not wait for them."""
 
     def __init__(self, counter: FailureCounter) -> None:
         self._counter = counter
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, what: str, attempt: Callable[[], Awaitable[object]]) -> None:
-        """Go on trying. What can't be had at all is logged and left out."""
+        """Start to acquire a resource. One that can never be acquired is logged, and the balancer runs without it."""
         task = asyncio.get_running_loop().create_task(self._acquire(what, attempt))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -82,9 +82,9 @@
         try:
             await acquire(what, attempt, self._counter)
         except Unobtainable as error:
-            log.error("%s; it is left out", error)
+            log.error("%s; continuing without it", error)
 
     def stop(self) -> None:
-        """Try no longer."""
+        """Cancel all attempts."""
         for task in self._tasks:
             task.cancel()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the deploy file starts it: configuration, SIGTERM, few descriptors."""
+"""The program as a process: configuration, signals, and a low descriptor limit."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 async def program(
     folder: Path, *upstreams: int, descriptors: int = 1024, operators: Path | None = None, **limits: float
 ) -> AsyncIterator[tuple[Process, int]]:
-    """The running program and its port."""
+    """Run the program; yields the process and its port."""
     path = folder / "config.json"
     path.write_text(json.dumps(config(*upstreams, limits={"sockets": 1024, **limits})))
 
@@ -97,14 +97,14 @@
     async def test() -> None:
         (tmp_path / "operators.toml").write_text('[log]\nlevel = "debug"\n')
         async with program(tmp_path, operators=tmp_path / "operators.toml") as (process, port):
-            refused = await ask(port, request("/read/1", deadline_ms=100))  # there is no upstream
+            refused = await ask(port, request("/read/1", deadline_ms=100))  # no upstream is known
             assert refused.status == 503 and process.stderr is not None
-            told: dict[str, Any] = {}
-            while not told.get("refused"):
+            figures: dict[str, Any] = {}
+            while not figures.get("refused"):
                 line = await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)
                 if b" standing " in line:
-                    told = json.loads(line.partition(b" standing ")[2])
-            assert told["refused"] == {"waited": 1} and told["rate"] > 0
+                    figures = json.loads(line.partition(b" standing ")[2])
+            assert figures["refused"] == {"waited": 1} and figures["rate"] > 0
 
     run(test())
 
@@ -127,7 +127,7 @@
             slow = asyncio.create_task(ask(port, request("/read/slow", deadline_ms=3000)))
             await until(lambda: upstream.got or second.got)
             process.send_signal(signal.SIGTERM)
-            while (await ask(port, READY)).status != 503:  # the signal may take a moment
+            while (await ask(port, READY)).status != 503:  # until the signal is handled
                 pass
             late = await ask(port, request("/read/late"))
             assert (late.status, late.headers["connection"]) == (200, "close")
@@ -144,24 +144,24 @@
 
 
 def test_ready_is_told_when_the_start_is_paid_for(tmp_path: Path) -> None:
-    # Guards against clients that wait out the stop of a process which has overspent its share by starting.
+    # Guards against clients that wait while a process which used up its processor quota by starting is throttled.
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         async with program(tmp_path, upstream.port, cores=0.001) as (process, port):
             while (got := await ask(port, READY)).status != 200:
                 assert got.status == 503
-                assert (await ask(port, request())).status == 200  # it serves all the same
+                assert (await ask(port, request())).status == 200  # it serves requests before it is ready
         upstream.stop()
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("cores", "spent_s", "rest"),
+    ("cores", "spent_s", "delay_s"),
     [(0.0, 0.1, 0.0), (0.5, 0.1, 0.2 + THROTTLE_LAG_S), (0.01, 0.1, MAX_READINESS_DELAY_S)],
 )
-def test_the_rest_pays_for_the_start(cores: float, spent_s: float, rest: float) -> None:
-    assert readiness_delay_s(cores, spent_s) == pytest.approx(rest)
+def test_the_rest_pays_for_the_start(cores: float, spent_s: float, delay_s: float) -> None:
+    assert readiness_delay_s(cores, spent_s) == pytest.approx(delay_s)
 
 
 def test_sighup_moves_discovery_and_survives_a_bad_file(tmp_path: Path) -> None:
@@ -186,7 +186,7 @@
                 process.send_signal(signal.SIGHUP)
                 await until(lambda r=registry: len(r.calls) >= 2)  # type: ignore[misc]
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGHUP)  # also while it drains
+            process.send_signal(signal.SIGHUP)  # also while draining
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
         for server in (upstream, *(r.upstream for r in registries)):
             server.stop()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Starts: told signals at any moment, with lists that are old, of no use or large."""
+"""Starts: signals during the start, and outdated, unusable or large lists."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 MANY = 1024
 
 
-async def told_while_it_reads(
-    folder: Path, told: int, second: dict[str, object], then: Callable[[Process], Awaitable[None]]
+async def signalled_during_read(
+    folder: Path, number: int, second: dict[str, object], then: Callable[[Process], Awaitable[None]]
 ) -> None:
-    """Start it as the deploy file says, tell it a signal while it reads its configuration, then lay `second` there."""
+    """Start it with the deploy file's command; signal it while it reads the configuration, which `second` replaces."""
     path, text = folder / "config.json", json.dumps(config())
     os.mkfifo(path)
     command = DEPLOY["run"].replace(".venv/bin/python", sys.executable)
@@ -34,8 +34,8 @@
         "/bin/sh", "-c", command, cwd=ROOT, stderr=PIPE, env={"PATH": "/usr/bin:/bin", "RELAY_CONFIG": str(path)}
     )
     try:
-        writing = await asyncio.to_thread(os.open, path, os.O_WRONLY)  # it has opened the other end
-        process.send_signal(told)
+        writing = await asyncio.to_thread(os.open, path, os.O_WRONLY)  # blocks until the process opens it
+        process.send_signal(number)
         (folder / "second").write_text(json.dumps(second))
         os.replace(folder / "second", path)
         os.write(writing, text.encode())
@@ -48,7 +48,7 @@
 
 
 async def line_with(process: Process, words: bytes) -> bytes:
-    """The next line of its log that holds these words."""
+    """Read its log up to the next line that contains these words."""
     assert process.stderr is not None
     line = b""
     while words not in line:
@@ -66,7 +66,7 @@
             await line_with(process, b"ready on port")
             await until(lambda: len(registry.calls) >= 2)
 
-        await told_while_it_reads(tmp_path, signal.SIGHUP, config(discovery=f"{HOST}:{registry.upstream.port}"), then)
+        await signalled_during_read(tmp_path, signal.SIGHUP, config(discovery=f"{HOST}:{registry.upstream.port}"), then)
         registry.upstream.stop()
 
     run(test())
@@ -78,14 +78,14 @@
             assert b"of processor" in await line_with(process, b"ended: ")
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
 
-        await told_while_it_reads(tmp_path, signal.SIGTERM, config(), then)
+        await signalled_during_read(tmp_path, signal.SIGTERM, config(), then)
 
     run(test())
 
 
-async def started(folder: Path, told: dict[str, object], then: Callable[[Process, int], Awaitable[None]]) -> None:
+async def started(folder: Path, settings: dict[str, object], then: Callable[[Process, int], Awaitable[None]]) -> None:
     path = folder / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(settings))
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "lanemux", stderr=PIPE, env={**os.environ, "RELAY_CONFIG": str(path)}
     )
@@ -142,31 +142,31 @@
             assert (await ask(port, READY)).status in (200, 503)
             assert (await ask(port, request())).status == 200
             for rows in (MANY, 2000, 4096):
-                told = len(others)
+                index = len(others)
                 others.append(await Upstream(answers(200)).start())
-                hosts = [entry(f"s{i}-{'x' * 500}", others[told].port, site="y" * 100) for i in range(rows)]
+                hosts = [entry(f"s{i}-{'x' * 500}", others[index].port, site="y" * 100) for i in range(rows)]
                 text = json.dumps({"seq": rows, "whole": True, "hosts": hosts}, indent=4).encode()
                 assert len(text) < MAX_LIST_BYTES
                 registry.broken = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text)
                 registry.change("any")
-                while not others[told].got:  # what it lists is used
+                while not others[index].got:  # until the listed address is used
                     assert (await ask(port, request())).status in (200, 503)
             registry.broken = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_BYTES + 1) + b" " * (
                 MAX_LIST_BYTES + 1
             )
             assert b"call failed" in await line_with(process, b"discovery")
-            asked = len(others[-1].got)
-            assert (await ask(port, request())).status == 200  # the old state stays
-            assert len(others[-1].got) == asked + 1
+            requests_before = len(others[-1].got)
+            assert (await ask(port, request())).status == 200  # the last usable list stays in effect
+            assert len(others[-1].got) == requests_before + 1
 
-        told = config(
+        configuration = config(
             known=known(*[upstream.port] * MANY),
             peers=peers,
             peer_listen=f"{HOST}:0",
             settings=settings,
             discovery=f"{HOST}:{registry.upstream.port}",
         )
-        await started(tmp_path, told, then)
+        await started(tmp_path, configuration, then)
         for server in (registry.upstream, upstream, *others):
             server.stop()
 
