--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -218,7 +218,7 @@
     registry: Registry | None = None,
     sockets: int = 1024,
     known_list: object = None,
-    rest_s: float = 0.0,
+    readiness_delay_s: float = 0.0,
     admission: MakeConnectionAdmission | None = None,
     **limits: Any,
 ) -> AsyncIterator[Client]:
@@ -235,7 +235,7 @@
         known_list or known(*(u.port for u in upstreams)),
     )
     balancer = Node(config, module, admission=admission)
-    port = await balancer.start(rest_s)
+    port = await balancer.start(readiness_delay_s)
     client = Client(balancer, port)
     try:
         yield client
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -462,7 +462,7 @@
         script = Script()
         sends_first(script)
         ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
-        async with node(script, upstream, rest_s=3600.0) as client:
+        async with node(script, upstream, readiness_delay_s=3600.0) as client:
             assert (await client.ask(ready)).status == 503
             assert (await client.ask(request())).status == 200
         async with node(script, upstream) as client:
