--- a/lanemux/admin/extension.py
+++ b/lanemux/admin/extension.py
@@ -23,14 +23,16 @@
         self._node = node
         self._admin = AdminServer(node, system) if node.config.admin is not None else None
         self._cordon_sync = (
-            CordonSync(system, f"{folder}/{CORDON_FOLDER}", node.upstream_set.hear_word) if folder is not None else None
+            CordonSync(system, f"{folder}/{CORDON_FOLDER}", node.upstream_set.apply_cordon)
+            if folder is not None
+            else None
         )
 
     def start(self) -> None:
         """Start before the node reads its upstream list, so that cordons apply from the first decision on."""
         if self._cordon_sync is not None:
             self._cordon_sync.open()
-            self._node.upstream_set.keep_word = self._cordon_sync.publish
+            self._node.upstream_set.persist_cordon = self._cordon_sync.publish
         if self._admin is not None:
             try:
                 self._open_admin()
--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -122,7 +122,7 @@
     import logging
 
     from lanemux.net.daemon import main
-    from lanemux.net.reload import Lists
+    from lanemux.net.reload import ListSourceSetting
     from lanemux.net.startup import Interrupted
     from lanemux.operators import load
     from lanemux.validation import ValidationError
@@ -138,7 +138,7 @@
 
     try:
         initial = _load_with_retries(options.operators)
-        lists = Lists(read)
+        lists = ListSourceSetting(read)
     except ValidationError as error:
         return _report_faults(error.faults)
     except Interrupted:
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -222,7 +222,7 @@
                 reported.append(word)
                 return results[len(reported) - 1]
 
-            client.node.upstream_set.keep_word = keep
+            client.node.upstream_set.persist_cordon = keep
             assert (await call(port, "PUT /admin/cordon/s0")).status == 507
             assert (await call(port, "PUT /admin/cordon/s0")).status == 200
             assert reported[0] == reported[1] and reported[0].out
