--- a/bench/structures.py
+++ b/bench/structures.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lanemux.core.line import Line
-from lanemux.core.ring import Ring, mixed
+from lanemux.core.removable_queue import RemovableQueue
+from lanemux.core.ring import Ring, hash_id
 from lanemux.core.timers import Timers
 
 SIZES, ROUNDS, STEPS = (10, 1_000, 10_000), 7, 400
@@ -47,14 +47,14 @@
         for n in steps[:20]:
             row.remove(One(n % size))
             row.append(One(n % size))
-            row.sort(key=lambda one: (mixed(one.id, 0), one.id))
+            row.sort(key=lambda one: (hash_id(one.id, 0), one.id))
 
     return timed(turns, len(steps) / 20)
 
 
 def line(size: int, steps: list[int]) -> float:
     """One from anywhere leaves, and joins at the end."""
-    row = Line[int]()
+    row = RemovableQueue[int]()
     for n in range(size):
         row.append(n)
 
@@ -85,7 +85,7 @@
 
     def turns() -> None:
         for n in steps * 10:
-            kept.settle(kept.set(10**9 + n, n))
+            kept.cancel(kept.set(10**9 + n, n))
 
     return timed(turns, 0.1)
 
--- a/lanemux/admin/server.py
+++ b/lanemux/admin/server.py
@@ -8,7 +8,7 @@
 
 from lanemux.admin.calls import Balancer, answer
 from lanemux.core.address import Address
-from lanemux.core.failures import is_out_of_descriptors, name_of
+from lanemux.core.failures import errno_name, is_out_of_descriptors
 from lanemux.core.system import Listener, System
 from lanemux.net.http import MessageReader, write_response
 
@@ -96,7 +96,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                self.balancer.tally.call_failed("accept at the second address", name_of(error))
+                self.balancer.tally.call_failed("accept at the second address", errno_name(error))
                 log.warning("second address: %s", error)
                 if is_out_of_descriptors(error):
                     self._make_place()
--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     import argparse
 
-    from lanemux.core.source import MakeSource
+    from lanemux.core.source import SourceFactory
     from lanemux.core.system import System
     from lanemux.net.daemon import Extension, MakeModule
     from lanemux.net.node import MakeConnectionAdmission, Node
@@ -82,7 +82,7 @@
     return make(node, system, os.environ.get("TMPDIR"))
 
 
-def _source(operators: Operators) -> MakeSource | None:
+def _source(operators: Operators) -> SourceFactory | None:
     """Where the list comes from, as the operators' file says; None: platform discovery."""
     told = operators.etcd
     if told is None:
@@ -127,7 +127,7 @@
 
     options = _arguments("serve", rest)
 
-    def read() -> MakeSource | None:
+    def read() -> SourceFactory | None:
         told = load(options.operators)
         for name in ("storm", "fleet", "log"):
             if getattr(told, name) != getattr(first, name):
@@ -148,7 +148,7 @@
 
 def _load_when_readable(path: str | None) -> Operators:
     """The operators' file, once it can be read. ValidationError for one that can't be used."""
-    from lanemux.core.failures import MomentaryError
+    from lanemux.core.failures import TransientError
     from lanemux.core.system import Machine
     from lanemux.net.startup import wait_for
     from lanemux.operators import load
@@ -159,7 +159,7 @@
             return load(path)
         except ValidationError as error:
             if error.momentary:
-                raise MomentaryError(str(error)) from None
+                raise TransientError(str(error)) from None
             raise
 
     return wait_for("operators' file", attempt, Machine())
--- a/lanemux/core/addresses.py
+++ b/lanemux/core/address_conflicts.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 
-class Addresses:
+class AddressConflicts:
     """Who is where. Its tables hold what is listed, and no more; a change costs what is at its addresses."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         self._at: dict[Address, tuple[int, ...]] = {}
         self._displaced: set[int] = set()
 
-    def settle(self, entries: Iterable[Entry], whole: bool) -> list[Entry]:
+    def update(self, entries: Iterable[Entry], whole: bool) -> list[Entry]:
         """The entries to go by: those told, and those of whom the news decides."""
         told = {e.upstream.id: e for e in entries}
         touched = {e.address for e in told.values()}
@@ -47,7 +47,7 @@
                 changed.update((number, self._entries[number]) for number in self._judge(address, here))
         return [self._handed_on(entry) for entry in changed.values()]
 
-    def listed(self) -> list[Entry]:
+    def entries(self) -> list[Entry]:
         """All that are listed, as they were handed on."""
         return [self._handed_on(entry) for entry in self._entries.values()]
 
--- a/lanemux/core/cordons.py
+++ b/lanemux/core/cordons.py
@@ -17,11 +17,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class CordonRecord:
     """The operators' last word on one host."""
 
     host: str
-    out: bool
+    cordoned: bool
     at_ns: int  # Unix time at which it was said: of two words the later one holds
 
 
@@ -32,45 +32,45 @@
         """`offset_ns`: from the module's clock to Unix time; `cold_ns`: for how long a call back means cold."""
         self._offset_ns = offset_ns
         self._cold_ns = cold_ns
-        self._words: dict[str, Word] = {}
+        self._words: dict[str, CordonRecord] = {}
 
-    def out(self, host: str) -> bool:
+    def is_cordoned(self, host: str) -> bool:
         word = self._words.get(host)
-        return word is not None and word.out
+        return word is not None and word.cordoned
 
-    def word(self, host: str) -> Word | None:
+    def record(self, host: str) -> CordonRecord | None:
         """The last word on a host, while it counts."""
         return self._words.get(host)
 
     @property
-    def hosts(self) -> list[str]:
+    def cordoned_hosts(self) -> list[str]:
         """Those that are out."""
-        return [w.host for w in self._words.values() if w.out]
+        return [w.host for w in self._words.values() if w.cordoned]
 
-    def room(self, host: str) -> bool:
+    def has_room(self, host: str) -> bool:
         """May one more word be kept?"""
         return host in self._words or len(self._words) < MAX_CORDONS
 
-    def said(self, host: str, out: bool, now_unix_ns: int) -> Word:
+    def new_record(self, host: str, out: bool, now_unix_ns: int) -> CordonRecord:
         """What an operator says now: later than all that was said of the host, whatever the wall clock did since."""
         known = self._words.get(host)
-        return Word(host, out, max(now_unix_ns, known.at_ns + 1 if known is not None else 1))
+        return CordonRecord(host, out, max(now_unix_ns, known.at_ns + 1 if known is not None else 1))
 
-    def hear(self, word: Word) -> bool:
+    def apply(self, word: CordonRecord) -> bool:
         """Take a word, also one told to another process of this balancer; does it change what holds?"""
         known = self._words.get(word.host)
-        if (known is not None and known.at_ns >= word.at_ns) or not self.room(word.host):
+        if (known is not None and known.at_ns >= word.at_ns) or not self.has_room(word.host):
             return False
         self._words[word.host] = word
-        return known is None or known.out is not word.out
+        return known is None or known.cordoned is not word.cordoned
 
-    def forget(self, now_ns: int) -> None:
+    def discard_expired(self, now_ns: int) -> None:
         """Nothing is kept of calls back that are long over."""
         before = now_ns + self._offset_ns - self._cold_ns
-        for word in [w for w in self._words.values() if not w.out and w.at_ns < before]:
+        for word in [w for w in self._words.values() if not w.cordoned and w.at_ns < before]:
             del self._words[word.host]
 
-    def handed_on(self, entries: Iterable[Entry], now_ns: int) -> list[Entry]:
+    def effective_entries(self, entries: Iterable[Entry], now_ns: int) -> list[Entry]:
         """The entries as the operators want them to be known."""
         if not self._words:
             return list(entries)
@@ -80,7 +80,7 @@
         word, upstream = self._words.get(entry.host), entry.upstream
         if word is None or upstream.state is api.State.GONE:
             return entry
-        if word.out:
+        if word.cordoned:
             return replace(entry, upstream=upstream._replace(state=api.State.DRAINING))
         back_ns = word.at_ns - self._offset_ns
         if back_ns <= upstream.started_ns or now_ns - back_ns >= self._cold_ns:
--- a/lanemux/core/failures.py
+++ b/lanemux/core/failures.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 # The same call would fail the same way for ever: a privilege is missing, or what was named is no such thing.
-LASTING = frozenset(
+PERMANENT = frozenset(
     {
         errno.EACCES,
         errno.EPERM,
@@ -39,19 +39,19 @@
         """One more failure of this call, with an error number of that name."""
 
 
-class Unobtainable(Exception):
+class UnrecoverableError(Exception):
     """What the program needs can't be had, however often it is tried."""
 
 
-class MomentaryError(Exception):
-    """What failed may work when it is tried again, for `patience_s` at the most."""
+class TransientError(Exception):
+    """What failed may work when it is tried again, for `retry_for_s` at the most."""
 
-    patience_s: float = math.inf
+    retry_for_s: float = math.inf
 
 
-def is_lasting(error: OSError) -> bool:
+def is_permanent(error: OSError) -> bool:
     """Will the same call fail again whenever it is tried?"""
-    return error.errno in LASTING
+    return error.errno in PERMANENT
 
 
 def is_local(error: OSError) -> bool:
@@ -59,7 +59,7 @@
     return error.errno in LOCAL
 
 
-def may_pass_soon(error: OSError) -> bool:
+def is_transient_connect_error(error: OSError) -> bool:
     """Connecting failed: may it work in a moment, whatever the other side does?"""
     return error.errno in LOCAL or error.errno in UNREACHABLE
 
@@ -69,7 +69,7 @@
     return error.errno == errno.EMFILE
 
 
-def name_of(error: OSError) -> str:
+def errno_name(error: OSError) -> str:
     """The error number's name, as manual pages have it."""
     return errno.errorcode.get(error.errno or 0, type(error).__name__)
 
--- a/lanemux/core/index.py
+++ b/lanemux/core/index.py
@@ -8,9 +8,9 @@
 
 from typing import Generic, TypeVar
 
-from lanemux.core.ring import Numbered, Ring
+from lanemux.core.ring import HasId, Ring
 
-Member = TypeVar("Member", bound=Numbered)
+Member = TypeVar("Member", bound=HasId)
 
 
 class Part(Generic[Member]):
@@ -24,13 +24,13 @@
 
 
 class Index(Generic[Member]):
-    """The members of one pool; `reach` is the home, and the next one after it."""
+    """The members of one pool; `candidates` is the home, and the next one after it."""
 
     def __init__(self, me: int) -> None:
         self._here, self._there = Part[Member](me), Part[Member](me)
-        self.home = 0  # how many belong to it
-        self.first = 0  # where on the near ring it begins
-        self.reach: list[Member] = []
+        self.subset_size = 0  # how many belong to it
+        self.subset_start = 0  # where on the near ring it begins
+        self.candidates: list[Member] = []
 
     def __len__(self) -> int:
         return len(self._here.ring) + len(self._there.ring)
@@ -50,35 +50,35 @@
         return self._there.mine.members if len(self._here.ring) else []
 
     @property
-    def near(self) -> int:
+    def near_count(self) -> int:
         """How many members the near part has."""
         return len(self._near.ring)
 
-    def place(self, member: Member) -> int | None:
+    def position(self, member: Member) -> int | None:
         """Its place on the near ring, None if it is not there."""
         at, there = self._near.ring.find(member)
         return at if there else None
 
-    def at_home(self, member: Member) -> bool:
-        at, n = self.place(member), self.near
+    def in_subset(self, member: Member) -> bool:
+        at, n = self.position(member), self.near_count
         if at is not None:
-            return (at - self.first) % n < self.home
-        if self.home <= n or not len(self._here.ring):
+            return (at - self.subset_start) % n < self.subset_size
+        if self.subset_size <= n or not len(self._here.ring):
             return False
         at, there = self._there.mine.find(member)
-        return there and at < self.home - n
-
-    def settle(self, first: int, home: int) -> None:
-        """The home begins there and has so many; work out `reach` anew."""
-        self.first, self.home = first, home
-        ring, n, far, end = self._near.ring.members, self.near, self._far, first + home
-        self.reach = ring[first:end] + ring[: min(first, max(0, end - n))] + far[: max(0, home - n)]
-        outside = (m for m in self._near.mine.members if not self.at_home(m))
+        return there and at < self.subset_size - n
+
+    def set_subset(self, first: int, home: int) -> None:
+        """The home begins there and has so many; work out `candidates` anew."""
+        self.subset_start, self.subset_size = first, home
+        ring, n, far, end = self._near.ring.members, self.near_count, self._far, first + home
+        self.candidates = ring[first:end] + ring[: min(first, max(0, end - n))] + far[: max(0, home - n)]
+        outside = (m for m in self._near.mine.members if not self.in_subset(m))
         beyond = next(outside, None) if home < n else next(iter(far[home - n :][:1]), None)
         if beyond is not None:
-            self.reach.append(beyond)
+            self.candidates.append(beyond)
 
     def all(self) -> list[Member]:
         """The home, then the others in this balancer's own order."""
-        outside = [m for m in self._near.mine.members if not self.at_home(m)]
-        return self.reach[: self.home] + outside + self._far[max(0, self.home - self.near) :]
+        outside = [m for m in self._near.mine.members if not self.in_subset(m)]
+        return self.candidates[: self.subset_size] + outside + self._far[max(0, self.subset_size - self.near_count) :]
--- a/lanemux/core/membership.py
+++ b/lanemux/core/membership.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 STATES = {"up": api.State.READY, "draining": api.State.DRAINING, "removed": api.State.GONE}
-NOWHERE: Address = ("", 0)  # of what is gone
+NO_ADDRESS: Address = ("", 0)  # of what is gone
 
 
 class BadList(ValueError):
@@ -42,7 +42,7 @@
     whole: bool
     entries: list[Entry]
     origin: str = "discovery"
-    told_ns: int = 0  # when it was heard, on the module's clock
+    received_ns: int = 0  # when it was heard, on the module's clock
 
 
 class Membership:
@@ -60,10 +60,10 @@
         """Those that are known."""
         return self._last.keys()
 
-    def last(self, host: str) -> Entry | None:
+    def last_entry(self, host: str) -> Entry | None:
         return self._last.get(host)
 
-    def take(self, rows: Iterable[object], whole: bool, now_ns: int, current: bool = True) -> list[Entry]:
+    def apply(self, rows: Iterable[object], whole: bool, now_ns: int, current: bool = True) -> list[Entry]:
         """The entries of a list, or of changes to it; `current`: it tells what holds now, and not long ago."""
         named = [row for row in rows if isinstance(row, dict) and isinstance(row.get("host"), str)]
         named.sort(key=lambda row: row["host"])  # so that numbers that collide go alike everywhere
@@ -71,13 +71,13 @@
             self._forget(set(self._ids) - {row["host"] for row in named})
             born = (row.get("born_ms") for row in named)
             self._starts.compare_clocks((b for b in born if isinstance(b, int)), now_ns)
-        entries = [e for e in (self.entry(row["host"], row, now_ns) for row in named) if e is not None]
+        entries = [e for e in (self.read_row(row["host"], row, now_ns) for row in named) if e is not None]
         self._forget({row["host"] for row in named if row.get("health") == "removed"})
         if current:
             self._starts.listed(now_ns)
         return entries
 
-    def entry(self, host: str, row: Mapping[str, object], now_ns: int) -> Entry | None:
+    def read_row(self, host: str, row: Mapping[str, object], now_ns: int) -> Entry | None:
         """What a row makes of a host; what was known of it, if the row can't be read."""
         try:
             state = STATES[str(row.get("health"))]
@@ -85,9 +85,9 @@
             if not (isinstance(born_ms, int) and isinstance(cell, int) and isinstance(weight, int | float)):
                 raise BadList("an entry's figures are no numbers")
             started = self._starts.started_ns(host, born_ms, now_ns)
-            address = NOWHERE if state is api.State.GONE else read_address(str(row.get("dial")))
+            address = NO_ADDRESS if state is api.State.GONE else read_address(str(row.get("dial")))
             upstream = api.Upstream(
-                self.number(host),
+                self.id_of(host),
                 state,
                 str(row.get("site") or ""),
                 cell,
@@ -101,13 +101,13 @@
             log.warning("list: entry %.80s can't be read: %r", host, error)
             return self._last.get(host)  # nor end an upstream that is there
 
-    def leave(self, host: str) -> Entry | None:
+    def remove(self, host: str) -> Entry | None:
         """A host that is gone: the entry that says so, or None if it was not known."""
         last = self._last.get(host)
         self._forget([host])
-        return Entry(last.upstream._replace(state=api.State.GONE), NOWHERE, host) if last is not None else None
+        return Entry(last.upstream._replace(state=api.State.GONE), NO_ADDRESS, host) if last is not None else None
 
-    def number(self, host: str) -> int:
+    def id_of(self, host: str) -> int:
         """A number below 2^32, the same in every process; the next free one where two hosts collide."""
         known = self._ids.get(host)
         if known is not None:
--- a/lanemux/core/plugin.py
+++ b/lanemux/core/plugin.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from lanemux.core.words import FORM
+from lanemux.core.peer_report import REPORT_FORMAT
 
 
 class Plugin(Protocol):
@@ -21,29 +21,29 @@
         """Of its section: `GET /admin/NAME`."""
 
     @property
-    def first(self) -> int:
+    def message_type(self) -> int:
         """The first byte of its messages, which have no length that words have."""
 
     @property
-    def due_ns(self) -> int:
+    def next_tick_ns(self) -> int:
         """When it wants its next tick."""
 
-    def heard(self, sender: int, data: bytes, now: int) -> None:
+    def on_message(self, sender: int, data: bytes, now: int) -> None:
         """A peer's message."""
 
     def tick(self, now: int) -> None:
         """Time has come to `now`: at `due_ns`, or later where the process stood still."""
 
-    def take_out(self) -> list[tuple[int, bytes]]:
+    def take_outgoing(self) -> list[tuple[int, bytes]]:
         """What is to be sent since the last call: (peer, datagram)."""
 
-    def leave(self, now: int) -> None:
+    def shutdown(self, now: int) -> None:
         """The process ends in order."""
 
-    def section(self, now: int) -> Mapping[str, object]:
+    def status(self, now: int) -> Mapping[str, object]:
         """For operators."""
 
 
-def first_byte(data: bytes) -> int | None:
+def message_type_of(data: bytes) -> int | None:
     """Whose message this is; None for words between the decisions, and for nothing."""
-    return data[0] if len(data) % FORM.size else None
+    return data[0] if len(data) % REPORT_FORMAT.size else None
--- a/lanemux/core/line.py
+++ b/lanemux/core/removable_queue.py
@@ -9,7 +9,7 @@
 Member = TypeVar("Member", bound=Hashable)
 
 
-class Line(Generic[Member]):
+class RemovableQueue(Generic[Member]):
     """A deque whose members leave from the middle in constant time, where `deque.remove` looks through it."""
 
     def __init__(self) -> None:
--- a/lanemux/core/ring.py
+++ b/lanemux/core/ring.py
@@ -8,17 +8,17 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Numbered(Protocol):
+class HasId(Protocol):
     """What can stand on a ring."""
 
     @property
     def id(self) -> int: ...
 
 
-Member = TypeVar("Member", bound=Numbered)
+Member = TypeVar("Member", bound=HasId)
 
 
-def mixed(number: int, salt: int) -> int:
+def hash_id(number: int, salt: int) -> int:
     """A fixed scramble of an id: the same on every balancer, whatever the hash seed."""
     x = (number * 0x9E3779B97F4A7C15 + salt * 0xD1B54A32D192ED03 + 0x632BE59BD9B4E019) & 0xFFFFFFFFFFFFFFFF
     x = ((x ^ (x >> 29)) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
@@ -38,7 +38,7 @@
 
     def find(self, member: Member) -> tuple[int, bool]:
         """Where it stands, or would stand, and whether it is there."""
-        key = (mixed(member.id, self.salt), member.id)
+        key = (hash_id(member.id, self.salt), member.id)
         at = bisect_left(self.keys, key)
         return at, at < len(self.keys) and self.keys[at] == key
 
@@ -48,6 +48,6 @@
         if there and not inside:
             del self.keys[at], self.members[at]
         elif inside and not there:
-            self.keys.insert(at, (mixed(member.id, self.salt), member.id))
+            self.keys.insert(at, (hash_id(member.id, self.salt), member.id))
             self.members.insert(at, member)
         return there is not inside
--- a/lanemux/core/source.py
+++ b/lanemux/core/source.py
@@ -8,13 +8,15 @@
 
 from lanemux.core.membership import Listing, Membership
 
-Heard = Callable[[Listing | None], None]  # a listing, or None for a call that failed where lists are asked for
+ListingCallback = Callable[
+    [Listing | None], None
+]  # a listing, or None for a call that failed where lists are asked for
 
 
 class ListSource(Protocol):
-    """One source. It tells what it hears through the `Heard` that it was made with, in the loop's own turns."""
+    """One source. It tells what it hears through the `ListingCallback` it was made with, in the loop's own turns."""
 
-    def take_known(self, listing: Listing) -> None:
+    def start_from(self, listing: Listing) -> None:
         """The list as it was known before the start has been taken up."""
 
     def watch(self) -> None:
@@ -29,8 +31,8 @@
     def stop(self) -> None:
         """The end of all its connections and tasks begins."""
 
-    async def stopped(self) -> None:
+    async def wait_stopped(self) -> None:
         """Behind `stop`: nothing of it runs any more."""
 
 
-MakeSource = Callable[[Membership, random.Random, Heard], ListSource]
+SourceFactory = Callable[[Membership, random.Random, ListingCallback], ListSource]
--- a/lanemux/core/system.py
+++ b/lanemux/core/system.py
@@ -56,10 +56,10 @@
     def wall_ns(self) -> int:
         """Unix time. It may be set, forwards and backwards."""
 
-    def spent_s(self) -> float:
+    def cpu_time_s(self) -> float:
         """Processor time that this process has used so far."""
 
-    def most_kib(self) -> int:
+    def peak_rss_kib(self) -> int:
         """The most memory that this process has held so far, in KiB."""
 
     def since_last_data_s(self, connection: ConnectedSocket) -> float:
@@ -74,7 +74,7 @@
     def sleep(self, for_s: float) -> None:
         """Do nothing for so long. Only where no event loop runs."""
 
-    def told_to_end(self) -> bool:
+    def termination_pending(self) -> bool:
         """Does a signal that asks for the end wait to be handled?"""
 
     def listen(self, address: Address, backlog: int) -> Listener:
@@ -86,18 +86,18 @@
     def read(self, path: str, most: int) -> bytes:
         """The first bytes of a file, so many at most. OSError if it can't be read."""
 
-    def replace(self, path: str, data: bytes) -> None:
+    def write_atomic(self, path: str, data: bytes) -> None:
         """The whole file anew, lasting: who reads it sees the old or the new one, also after a loss of power.
 
         OSError where that can't be promised; the old one is there then, or the new one that may not last."""
 
-    def make_folder(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         """The folder, unless it is there. OSError if it can't be had."""
 
-    def names(self, folder: str) -> list[str]:
+    def list_directory(self, folder: str) -> list[str]:
         """The files of a folder. OSError if it can't be read."""
 
-    def changed_ns(self, folder: str) -> int:
+    def directory_mtime_ns(self, folder: str) -> int:
         """Another number whenever a file of the folder has been replaced. OSError if it can't be read."""
 
 
@@ -144,10 +144,10 @@
     def wall_ns(self) -> int:
         return time.time_ns()
 
-    def spent_s(self) -> float:
+    def cpu_time_s(self) -> float:
         return time.process_time()
 
-    def most_kib(self) -> int:
+    def peak_rss_kib(self) -> int:
         return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
     def since_last_data_s(self, connection: ConnectedSocket) -> float:
@@ -174,7 +174,7 @@
     def sleep(self, for_s: float) -> None:
         time.sleep(for_s)
 
-    def told_to_end(self) -> bool:
+    def termination_pending(self) -> bool:
         return not signal.sigpending().isdisjoint((signal.SIGTERM, signal.SIGINT))
 
     def listen(self, address: Address, backlog: int) -> Listener:
@@ -206,7 +206,7 @@
                 data += piece
         return bytes(data)
 
-    def replace(self, path: str, data: bytes) -> None:
+    def write_atomic(self, path: str, data: bytes) -> None:
         fresh = f"{path}.{os.getpid()}"
         try:
             with open(fresh, "wb") as file:
@@ -220,11 +220,11 @@
                 os.unlink(fresh)
             raise
 
-    def make_folder(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         os.makedirs(path, exist_ok=True)
 
-    def names(self, folder: str) -> list[str]:
+    def list_directory(self, folder: str) -> list[str]:
         return os.listdir(folder)
 
-    def changed_ns(self, folder: str) -> int:
+    def directory_mtime_ns(self, folder: str) -> int:
         return os.stat(folder).st_mtime_ns
--- a/lanemux/core/timers.py
+++ b/lanemux/core/timers.py
@@ -8,7 +8,7 @@
 from typing import Generic, TypeVar
 
 Item = TypeVar("Item")
-SETTLED_KEPT = 64  # settled ones left in the heap before it is looked through: a small heap is not worth it
+MAX_CANCELLED_KEPT = 64  # settled ones left in the heap before it is looked through: a small heap is not worth it
 
 
 @dataclass(slots=True, eq=False)
@@ -33,7 +33,7 @@
         return len(self._heap) - self._settled
 
     @property
-    def kept(self) -> int:
+    def heap_size(self) -> int:
         """All that take room, settled ones included."""
         return len(self._heap)
 
@@ -43,13 +43,13 @@
         heapq.heappush(self._heap, (at_ns, self._count, timer))
         return timer
 
-    def settle(self, timer: Timer[Item]) -> None:
+    def cancel(self, timer: Timer[Item]) -> None:
         """It need not ring any more; of no effect on one that has rung."""
         if timer.item is None:
             return
         timer.item = None
         self._settled += 1
-        if self._settled > SETTLED_KEPT and 2 * self._settled > len(self._heap):
+        if self._settled > MAX_CANCELLED_KEPT and 2 * self._settled > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].item is not None]
             heapq.heapify(self._heap)
             self._settled = 0
@@ -62,7 +62,7 @@
             self._settled -= 1
         return heap[0][0] if heap else None
 
-    def ring(self, now: int) -> Iterator[Item]:
+    def pop_due(self, now: int) -> Iterator[Item]:
         """What is due by now, one after the other; what is set meanwhile and due already rings as well."""
         while (at := self.next_ns()) is not None and at <= now:
             timer = heapq.heappop(self._heap)[2]
--- a/lanemux/drill.py
+++ b/lanemux/drill.py
@@ -28,7 +28,7 @@
     "dial_failed": api.Result.CONNECT_FAILED,
     "dropped": api.Result.RESET,
     "revoked": api.Result.CANCELLED,
-    "unused": api.Result.MOOT,
+    "unused": api.Result.NOT_SENT,
 }
 STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
 LISTS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
@@ -198,9 +198,9 @@
 READ: dict[str, Callable[[Json], api.Event]] = {
     "submit": _arrival,
     "returned": _outcome,
-    "timer": lambda e: api.Wake(_text(e, "name")),
+    "timer": lambda e: api.TimerFired(_text(e, "name")),
     "dropped": lambda e: api.ClientGone(_text(e, "ticket")),
-    "accepted": lambda e: api.AnswerBegun(
+    "accepted": lambda e: api.ResponseStarted(
         _text(e, "ticket"), _whole(e, "attempt"), _whole(e, "upstream"), e.get("took_ns") or 0
     ),
     "probe_result": lambda e: api.ProbeResult(
@@ -214,12 +214,12 @@
     api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
     api.Cancel: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
     api.Probe: lambda a: {"t": "sample", "upstream": a.upstream},
-    api.Tell: lambda a: {"t": "announce", "dst": a.peer, "blob": base64.b64encode(a.data).decode()},
+    api.SendToPeer: lambda a: {"t": "announce", "dst": a.peer, "blob": base64.b64encode(a.data).decode()},
     api.CloseIdle: lambda a: {"t": "close", "upstream": a.upstream},
     api.Subscribe: lambda a: {"t": "track", "active": a.on},
     api.FetchList: lambda a: {"t": "fetch"},
     api.SetTimer: lambda a: {"t": "schedule", "wait_ns": a.delay_ns, "name": a.name},
-    api.Note: lambda a: {"t": "write_log", "message": a.text},
+    api.WriteLog: lambda a: {"t": "write_log", "message": a.text},
 }
 
 
--- a/lanemux/etcd/board.py
+++ b/lanemux/etcd/board.py
@@ -148,12 +148,12 @@
 
     def _entry(self, host: str, pair: Pair | None, now_ns: int) -> Entry | None:
         if pair is None or pair.value is None:
-            return self._membership.leave(host)
+            return self._membership.remove(host)
         row = _row(host, pair.value)
         if row.get("health") == "removed":
-            return self._membership.leave(host)
-        last = self._membership.last(host)
-        entry = self._membership.entry(host, row, now_ns)
+            return self._membership.remove(host)
+        last = self._membership.last_entry(host)
+        entry = self._membership.read_row(host, row, now_ns)
         return None if entry == last else entry  # a row that says nothing new costs the module nothing
 
 
--- a/lanemux/etcd/source.py
+++ b/lanemux/etcd/source.py
@@ -12,7 +12,7 @@
 
 from lanemux.core.clock import now_ns
 from lanemux.core.membership import Listing, Membership
-from lanemux.core.source import Heard
+from lanemux.core.source import ListingCallback
 from lanemux.core.system import Machine, System
 from lanemux.etcd.board import Board
 from lanemux.etcd.follower import (
@@ -48,7 +48,7 @@
     target: Target
     system: System = field(default_factory=Machine)
 
-    def __call__(self, membership: Membership, rng: random.Random, heard: Heard) -> EtcdSource:
+    def __call__(self, membership: Membership, rng: random.Random, heard: ListingCallback) -> EtcdSource:
         return EtcdSource(self.target, membership, rng, heard, self.system)
 
 
@@ -56,7 +56,12 @@
     """A `ListSource`. It follows from the first `watch` on until it is stopped."""
 
     def __init__(
-        self, target: Target, membership: Membership, rng: random.Random, heard: Heard, system: System | None = None
+        self,
+        target: Target,
+        membership: Membership,
+        rng: random.Random,
+        heard: ListingCallback,
+        system: System | None = None,
     ) -> None:
         self._heard = heard
         self._system = system or Machine()
@@ -78,7 +83,7 @@
 
     # -- as a list source --
 
-    def take_known(self, listing: Listing) -> None:
+    def start_from(self, listing: Listing) -> None:
         """Nothing: its version is another source's."""
 
     def watch(self) -> None:
@@ -94,7 +99,7 @@
     def fetch(self) -> None:
         """Nothing: what is known is whole at all times."""
 
-    async def stopped(self) -> None:
+    async def wait_stopped(self) -> None:
         if self._call is not None:
             await asyncio.wait([self._call])
 
--- a/lanemux/eventloop/loop.py
+++ b/lanemux/eventloop/loop.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from lanemux.core.failures import name_of
+from lanemux.core.failures import errno_name
 from lanemux.eventloop.selector import ResilientSelector
 from lanemux.eventloop.stream_socket import StreamSocket
 
@@ -148,7 +148,7 @@
         if call in READING_CALLS:
             self._note_reading_failed()
         if self.counter is not None:
-            self.counter.call_failed(call, name_of(error))
+            self.counter.call_failed(call, errno_name(error))
         if self._tell_again(call):
             log.warning("%s: %s", call, error)
 
--- a/lanemux/fleet/view.py
+++ b/lanemux/fleet/view.py
@@ -23,7 +23,7 @@
 class View:
     """One balancer's view of the others."""
 
-    name, first = "fleet", MAGIC
+    name, message_type = "fleet", MAGIC
 
     def __init__(
         self, me: int, count: int, rng: random.Random, now: int, council: Sequence[int] = (), term_ns: int = 3 * SECOND
@@ -39,10 +39,10 @@
         self._second, self._told, self._untold = 0, 0, 0
 
     @property
-    def due_ns(self) -> int:
+    def next_tick_ns(self) -> int:
         return min(p.due_ns for p in (self.members, self.seat, self.follower) if p is not None)
 
-    def heard(self, sender: int, data: bytes, now: int) -> None:
+    def on_message(self, sender: int, data: bytes, now: int) -> None:
         if is_following(data):
             self._followed(sender, data, now)
         elif ballots.is_ballot(data):
@@ -86,12 +86,12 @@
             self.follower.tick(now)
         self._tell(now)
 
-    def leave(self, now: int) -> None:
+    def shutdown(self, now: int) -> None:
         self.members.leave()
         if self.seat is not None:
             self.seat.leave(now)
 
-    def take_out(self) -> list[tuple[int, bytes]]:
+    def take_outgoing(self) -> list[tuple[int, bytes]]:
         out, self.members.out = self.members.out, []
         if self.seat is not None:
             out += [(to, ballots.written(word)) for to, word in self.seat.out]
@@ -103,7 +103,7 @@
         self._said = []
         return out
 
-    def section(self, now: int) -> Mapping[str, object]:
+    def status(self, now: int) -> Mapping[str, object]:
         """JSON of `/admin/fleet`."""
         known = {m.number: (m.standing, m.incarnation) for m in self.members.members.values()}
         known[self.members.me] = (Standing.LEAVING if self.members.leaving else Standing.UP, self.members.incarnation)
--- a/lanemux/fleet/wire.py
+++ b/lanemux/fleet/wire.py
@@ -1,6 +1,6 @@
 """The form of what balancers tell one another of who is there. No I/O and no clock.
 
-A message begins with MAGIC, VERSION and its kind, and its length is no multiple of a word's (`core/words.py`): a
+A message begins with MAGIC, VERSION and its kind, and its length is no multiple of a word's (`core/peer_report.py`): a
 balancer of an older version, which reads words alone, leaves it unread. All numbers are unsigned, the first byte first.
 """
 
@@ -11,8 +11,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from lanemux.core.words import FORM as WORD
-from lanemux.core.words import MESSAGE
+from lanemux.core.peer_report import MAX_DATAGRAM as MESSAGE
+from lanemux.core.peer_report import REPORT_FORMAT as WORD
 
 MAGIC, VERSION = 0xF1, 1
 HEAD = struct.Struct(">BBBBIIBIHHB")
--- a/lanemux/interface.py
+++ b/lanemux/interface.py
@@ -64,10 +64,10 @@
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # called off; may have run
-    MOOT = "moot"  # not sent at all; never ran
+    NOT_SENT = "moot"  # not sent at all; never ran
 
 
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
+NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,7 +197,7 @@
     report: Mapping[str, float] | None = None
 
 
-class AnswerBegun(NamedTuple):
+class ResponseStarted(NamedTuple):
     """A streamed answer has begun; the request's deadline no longer runs."""
 
     request: str
@@ -222,28 +222,28 @@
     data: bytes
 
 
-class Wake(NamedTuple):
+class TimerFired(NamedTuple):
     """A timer set with SetTimer is due."""
 
     name: str
 
 
-class Held(NamedTuple):
+class HeldRequest(NamedTuple):
     """What the proxy holds for one request."""
 
     sends: int  # attempts that it was given
-    out: bool = False  # the last of them has no outcome yet
+    in_flight: bool = False  # the last of them has no outcome yet
 
 
-class Truth(NamedTuple):
+class Resync(NamedTuple):
     """What the proxy holds, after a batch that the module did not survive: its events and actions are lost.
 
     Of the requests named the module goes on with those it knows and ends the others; the whole list follows."""
 
-    calls: Mapping[str, Held]
+    requests: Mapping[str, HeldRequest]
 
 
-Event = ListUpdate | Arrival | Outcome | AnswerBegun | ClientGone | ProbeResult | PeerMessage | Wake | Truth
+Event = ListUpdate | Arrival | Outcome | ResponseStarted | ClientGone | ProbeResult | PeerMessage | TimerFired | Resync
 
 # ---- actions -------------------------------------------------------------------------------------------
 
@@ -278,7 +278,7 @@
     upstream: int
 
 
-class Tell(NamedTuple):
+class SendToPeer(NamedTuple):
     data: bytes
     peer: int = -1  # -1: all peers
 
@@ -302,8 +302,8 @@
     name: str
 
 
-class Note(NamedTuple):
+class WriteLog(NamedTuple):
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Tell | CloseIdle | Subscribe | FetchList | SetTimer | Note
+Action = Send | Refuse | Fail | Cancel | Probe | SendToPeer | CloseIdle | Subscribe | FetchList | SetTimer | WriteLog
--- a/lanemux/net/config.py
+++ b/lanemux/net/config.py
@@ -8,7 +8,7 @@
 
 from lanemux import interface as api
 from lanemux.core.address import Address, read_address
-from lanemux.core.failures import MomentaryError, is_lasting
+from lanemux.core.failures import TransientError, is_permanent
 from lanemux.core.system import Machine, System
 from lanemux.drill import read_settings
 from lanemux.net.http import read_json
@@ -25,14 +25,14 @@
     """The configuration is missing or can't be used."""
 
 
-class UnreadableConfig(BadConfig, MomentaryError):
+class UnreadableConfig(BadConfig, TransientError):
     """Reading the file failed in a way that passes."""
 
 
-class IncompleteConfig(BadConfig, MomentaryError):
+class IncompleteConfig(BadConfig, TransientError):
     """The file is missing or ends too early: it may be on its way to its place."""
 
-    patience_s = INCOMPLETE_PATIENCE_S
+    retry_for_s = INCOMPLETE_PATIENCE_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     except FileNotFoundError as error:
         raise IncompleteConfig(f"{path}: {error.strerror}") from None
     except OSError as error:
-        kind = BadConfig if is_lasting(error) else UnreadableConfig
+        kind = BadConfig if is_permanent(error) else UnreadableConfig
         raise kind(f"{path}: {error.strerror}") from None
     except ValueError as error:
         raise IncompleteConfig(f"{path}: {error}") from None
--- a/lanemux/net/daemon.py
+++ b/lanemux/net/daemon.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from lanemux.core.clock import now_ns
-from lanemux.core.failures import Backoff, Unobtainable
+from lanemux.core.failures import Backoff, UnrecoverableError
 from lanemux.core.system import Machine, System
 from lanemux.eventloop.log_handler import NonBlockingHandler
 from lanemux.eventloop.loop import EventLoop
@@ -88,8 +88,8 @@
     end_request: EndRequest | None = None,
 ) -> None:
     """One balancer on the running loop, until SIGTERM or SIGINT has ended it; `made` is told of its node before it
-    starts. `stages`: what the start has cost so far; `end_request` notes such a signal. Raises Unobtainable where its
-    address can't be had at all."""
+    starts. `stages`: what the start has cost so far; `end_request` notes such a signal. Raises UnrecoverableError where
+    its address can't be had at all."""
     system = system or Machine()
     stages = stages or Stages(system)
     stop = asyncio.Event()
@@ -115,7 +115,7 @@
     try:
         if extension is not None:
             extension.start()
-        if await _start(node, rest_s(config.cores, system.spent_s()), stop):
+        if await _start(node, rest_s(config.cores, system.cpu_time_s()), stop):
             stages.passed("list and sockets")
             log.info(
                 "%s: started: %s; %d balancers, %d upstreams",
@@ -160,7 +160,7 @@
     if starting.done():
         try:
             await starting
-        except Unobtainable:
+        except UnrecoverableError:
             node.close()
             raise
         return True
@@ -231,7 +231,7 @@
     except Interrupted:
         log.info("ended before it had started")
         return 0
-    except (BadConfig, Unobtainable) as error:
+    except (BadConfig, UnrecoverableError) as error:
         print(f"lanemux: {error}", file=sys.stderr)
         return UNUSABLE_STATUS
 
@@ -264,11 +264,11 @@
         try:
             _run_on(loop, run())
             return 0
-        except Unobtainable as error:
-            raise Unobtainable(f"{name}: {error}") from error
+        except UnrecoverableError as error:
+            raise UnrecoverableError(f"{name}: {error}") from error
         except Exception:
             log.exception("%s: failed", name)
-        if end_request.made or system.told_to_end():
+        if end_request.made or system.termination_pending():
             return 0
         log.warning("%s: starts anew", name)
         system.sleep(backoff.next_s())
--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -11,7 +11,7 @@
 from lanemux.core.address import Address
 from lanemux.core.clock import now_ns
 from lanemux.core.membership import BadList, Listing, Membership
-from lanemux.core.source import Heard
+from lanemux.core.source import ListingCallback
 from lanemux.net.http import Message, read_json, write_request
 from lanemux.net.upstream import Exchange, Hub, Pool
 
@@ -42,7 +42,7 @@
     version, whole = raw.get("seq"), raw.get("whole")
     if not isinstance(version, int) or not isinstance(whole, bool):
         raise BadList("no seq or whole")
-    return Listing(version, whole, membership.take(raw["hosts"], whole, heard_ns, current), told_ns=heard_ns)
+    return Listing(version, whole, membership.apply(raw["hosts"], whole, heard_ns, current), received_ns=heard_ns)
 
 
 class Source:
@@ -81,7 +81,7 @@
     """Watches the list. Where it is pushed, the watch never ends; where it is asked, the module says when."""
 
     def __init__(
-        self, address: Address, membership: Membership, pushed: bool, rng: random.Random, heard: Heard
+        self, address: Address, membership: Membership, pushed: bool, rng: random.Random, heard: ListingCallback
     ) -> None:
         self._membership = membership
         self._source = Source(address, membership)
@@ -101,7 +101,7 @@
         self._asked_s = 0.0  # when the watch was last asked, by the loop's clock
         self._at_once = 0  # answers in a row that came at once
 
-    def take_known(self, listing: Listing) -> None:
+    def start_from(self, listing: Listing) -> None:
         self._version = listing.version
 
     def watch(self) -> None:
@@ -187,7 +187,7 @@
             self._fetch.abandon()
         self._source.close()
 
-    async def stopped(self) -> None:
+    async def wait_stopped(self) -> None:
         """At once: its calls are no tasks."""
 
     def _fetched(self, listing: Listing | None) -> None:
--- a/lanemux/net/frontend.py
+++ b/lanemux/net/frontend.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from lanemux.core.readiness import AWAY_S, EASE_S, Phase, Readiness
+from lanemux.core.readiness import QUIESCE_S, QUIESCE_SETTLE_S, Phase, Readiness
 from lanemux.net.config import Config
 from lanemux.net.server import Server
 
@@ -33,12 +33,12 @@
     @property
     def ready(self) -> bool:
         """Are clients to come?"""
-        return self.readiness.open and self._loop.time() >= self._rested_s
+        return self.readiness.accepting and self._loop.time() >= self._rested_s
 
     @property
     def away(self) -> bool:
         """Is whoever still comes refused at once?"""
-        return self.readiness.phase is Phase.AWAY
+        return self.readiness.phase is Phase.QUIESCED
 
     def rest(self, for_s: float) -> None:
         """Not ready for so long from now on, whatever else."""
@@ -59,12 +59,12 @@
 
     async def _send_away(self) -> None:
         begun = self._loop.time()
-        await asyncio.sleep(EASE_S)
+        await asyncio.sleep(QUIESCE_SETTLE_S)
         while True:
             gone_s = self._loop.time() - begun
-            await self.server.close_unused(UNUSED_S if gone_s < AWAY_S - UNUSED_S else 0.0)
-            if gone_s >= AWAY_S:
-                self.readiness.away()
+            await self.server.close_unused(UNUSED_S if gone_s < QUIESCE_S - UNUSED_S else 0.0)
+            if gone_s >= QUIESCE_S:
+                self.readiness.finish_quiesce()
             await asyncio.sleep(EASE_LOOK_S)
 
     def resume(self) -> bool:
@@ -73,7 +73,7 @@
             log.info("%s: back to work", self._config.name)
             self.server.draining = False
             self.stop()
-        return self.readiness.open
+        return self.readiness.accepting
 
     def stop(self) -> None:
         """Clients are sent away no longer."""
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -10,7 +10,7 @@
 
 from lanemux import interface as api
 from lanemux.core.clock import now_ns
-from lanemux.core.source import MakeSource
+from lanemux.core.source import SourceFactory
 from lanemux.core.system import Machine, System
 from lanemux.core.tally import Tally
 from lanemux.net.admission import ConnectionAdmission
@@ -70,7 +70,7 @@
         self,
         config: Config,
         module: Module,
-        source: MakeSource | None = None,
+        source: SourceFactory | None = None,
         system: System | None = None,
         admission: MakeConnectionAdmission | None = None,
     ) -> None:
@@ -113,7 +113,7 @@
     async def start(self, rest_s: float = 0.0) -> int:
         """Take up the known list, then open to clients, though ready only after a rest; gives the port.
 
-        Waits for the clients' address until it can be had; Unobtainable where that can never be."""
+        Waits for the clients' address until it can be had; UnrecoverableError where that can never be."""
         self.frontend.rest(rest_s)
         self.upstream_set.start()
         await self._open_peers()
@@ -196,7 +196,7 @@
                 log.warning("left with %d requests open", len(self._calls))
         await self.frontend.flush(end)
         self.close()
-        await self.upstream_set.source.stopped()
+        await self.upstream_set.source.wait_stopped()
         await self._hub.stopped()
         await asyncio.sleep(0)  # closed transports end in the loop's next turn
 
@@ -253,12 +253,12 @@
 
     def _wake(self, name: str) -> None:
         self._timers.pop(name, None)
-        self.feed(api.Wake(name))
+        self.feed(api.TimerFired(name))
 
     def _facts(self, now: int) -> list[api.Event]:
         """All that is true now, for a module that has failed."""
-        calls = {c.id: api.Held(c.sends, c.out is not None) for c in self._calls.values()}
-        return [api.Truth(calls), self.upstream_set.whole(now)]
+        calls = {c.id: api.HeldRequest(c.sends, c.out is not None) for c in self._calls.values()}
+        return [api.Resync(calls), self.upstream_set.whole(now)]
 
     def _carry_out_or_report(self, action: api.Action) -> None:
         """A fault in one action costs neither the others nor a request's answer: its timer still runs."""
@@ -280,7 +280,7 @@
                 self._cancel(action)
             case api.Probe():
                 self._probes.begin(action.upstream)
-            case api.Tell():
+            case api.SendToPeer():
                 self._peers.tell(action.data, action.peer)
             case api.CloseIdle():
                 if (pool := self._hub.pools.get(action.upstream)) is not None:
@@ -295,7 +295,7 @@
             case api.SetTimer():
                 due = (self._decisions.decided_ns + action.delay_ns) / SECOND
                 self._timers[action.name] = self._loop.call_at(due, self._wake, action.name)
-            case api.Note():
+            case api.WriteLog():
                 log.info("module: %s", action.text)
             case _:
                 assert_never(action)
@@ -415,7 +415,7 @@
             or end <= now
             or number >= self._limits.max_attempts
         ):
-            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, call is None))
+            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.NOT_SENT, 0, call is None))
             return
         call.out = Exchange(
             pool,
@@ -474,7 +474,7 @@
                     exchange.hold(True)
 
             call.client.begin([(k, v) for k, v in head.end_to_end() if k != b"srv-load"], head.length, writable)
-            self.feed(api.AnswerBegun(call.id, number, upstream, call.moved_ns - sent_ns))
+            self.feed(api.ResponseStarted(call.id, number, upstream, call.moved_ns - sent_ns))
             return pass_on
 
         return begun
@@ -493,7 +493,7 @@
         """No first byte may go to an upstream that drains, is gone or has moved, also not when its connection is up."""
         for call in list(self._calls.values()):
             if call.out is not None and call.out.astray:
-                call.out.finish(api.Result.MOOT)
+                call.out.finish(api.Result.NOT_SENT)
 
     def _peer_message(self, sender: int, data: bytes) -> None:
         """A peer's message is read with whatever is decided next, or by itself a little later.
--- a/lanemux/net/plugin_host.py
+++ b/lanemux/net/plugin_host.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from lanemux.core.clock import now_ns
-from lanemux.core.plugin import Plugin, first_byte
+from lanemux.core.plugin import Plugin, message_type_of
 
 log = logging.getLogger(__name__)
 
@@ -28,9 +28,9 @@
 
     def add(self, plugin: Plugin) -> None:
         """Plug one in; ValueError where another has its messages or its name."""
-        if plugin.first in self._plugins or plugin.name in self.sections:
+        if plugin.message_type in self._plugins or plugin.name in self.sections:
             raise ValueError(f"{plugin.name}: another has its messages or its name")
-        self._plugins[plugin.first] = plugin
+        self._plugins[plugin.message_type] = plugin
         self._after(plugin)
 
     @property
@@ -41,22 +41,22 @@
     def section(self, name: str) -> Mapping[str, object] | None:
         """What one tells operators; None: nothing of that name is plugged in."""
         plugin = self.sections.get(name)
-        return None if plugin is None else plugin.section(now_ns())
+        return None if plugin is None else plugin.status(now_ns())
 
     def heard(self, sender: int, data: bytes) -> bool:
         """A peer's message; False: it is one of the words between the decisions. One of nobody's is left unread."""
-        first = first_byte(data)
+        first = message_type_of(data)
         if first is None:
             return False
         plugin = self._plugins.get(first)
         if plugin is not None and not self._closed:
-            self._run(plugin, lambda now: plugin.heard(sender, data, now))
+            self._run(plugin, lambda now: plugin.on_message(sender, data, now))
         return True
 
     def leave(self) -> None:
         """The process ends in order."""
         for plugin in self._plugins.values():
-            self._run(plugin, plugin.leave)
+            self._run(plugin, plugin.shutdown)
 
     def close(self) -> None:
         """Nothing is sent and nothing rings any more."""
@@ -76,17 +76,17 @@
         self._after(plugin)
 
     def _after(self, plugin: Plugin) -> None:
-        for to, data in plugin.take_out():
+        for to, data in plugin.take_outgoing():
             self._tell(data, to)
-        due, known = plugin.due_ns, self._timers.get(plugin.first)
+        due, known = plugin.next_tick_ns, self._timers.get(plugin.message_type)
         if self._closed or (known is not None and known[0] == due):
             return
         if known is not None:
             known[1].cancel()
         # A due time that does not move on must not keep the loop from everything else.
         at = max(due, now_ns() + SECOND // 1000)
-        self._timers[plugin.first] = due, asyncio.get_running_loop().call_at(at / SECOND, self._ring, plugin)
+        self._timers[plugin.message_type] = due, asyncio.get_running_loop().call_at(at / SECOND, self._ring, plugin)
 
     def _ring(self, plugin: Plugin) -> None:
-        del self._timers[plugin.first]
+        del self._timers[plugin.message_type]
         self._run(plugin, plugin.tick)
--- a/lanemux/net/reload.py
+++ b/lanemux/net/reload.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable
 
-from lanemux.core.failures import Backoff, MomentaryError
-from lanemux.core.source import MakeSource
+from lanemux.core.failures import Backoff, TransientError
+from lanemux.core.source import SourceFactory
 from lanemux.core.system import System
 from lanemux.net.config import BadConfig, Config, read_config
 from lanemux.net.node import Node
@@ -20,7 +20,7 @@
 class Lists:
     """Where the list comes from, as the operators' file says it now."""
 
-    def __init__(self, read: Callable[[], MakeSource | None]) -> None:
+    def __init__(self, read: Callable[[], SourceFactory | None]) -> None:
         """`read` gives the source that the file names, the same object or an equal one while it names the same; it
         raises ValueError for a file that can't be used."""
         self._read = read
@@ -69,7 +69,7 @@
         try:
             new = read_config(self._path, self._system)
         except BadConfig as error:
-            if isinstance(error, MomentaryError) and backoff.paused_s < error.patience_s:
+            if isinstance(error, TransientError) and backoff.paused_s < error.retry_for_s:
                 self._retry = asyncio.get_running_loop().call_later(backoff.next_s(), self._try, backoff)
                 return
             log.warning("%s: reload: %s; the old configuration stays", self._old.name, error)
--- a/lanemux/net/server.py
+++ b/lanemux/net/server.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from lanemux.core.clock import now_ns
-from lanemux.core.failures import FailureCounter, is_out_of_descriptors, name_of
+from lanemux.core.failures import FailureCounter, errno_name, is_out_of_descriptors
 from lanemux.core.system import Listener, System
 from lanemux.eventloop.loop import EventLoop
 from lanemux.net.admission import ConnectionAdmission
@@ -197,7 +197,7 @@
                 self._not_accepting_since = None
                 return True
             except OSError as error:
-                self._counter.call_failed("accept", name_of(error))
+                self._counter.call_failed("accept", errno_name(error))
                 failed += 1
                 if not is_out_of_descriptors(error) and failed < FAILED_ACCEPTS:
                     continue  # the next one may be sound
--- a/lanemux/net/stages.py
+++ b/lanemux/net/stages.py
@@ -16,7 +16,7 @@
 
     def passed(self, name: str) -> None:
         """A stage has ended."""
-        self._passed.append((name, self._system.spent_s()))
+        self._passed.append((name, self._system.cpu_time_s()))
 
     def told(self) -> str:
         """Processor time of each stage, in ms, and the most memory so far, in MiB."""
@@ -28,7 +28,7 @@
 
     def told_at_end(self) -> str:
         """Processor time of the process's whole life, in s, and the most memory it had."""
-        return f"{self._system.spent_s():.2f} s of processor; {self._memory()}"
+        return f"{self._system.cpu_time_s():.2f} s of processor; {self._memory()}"
 
     def _memory(self) -> str:
-        return f"{self._system.most_kib() / KIB:.1f} MiB at most"
+        return f"{self._system.peak_rss_kib() / KIB:.1f} MiB at most"
--- a/lanemux/net/startup.py
+++ b/lanemux/net/startup.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-from lanemux.core.failures import Backoff, FailureCounter, MomentaryError, Unobtainable, is_lasting, name_of
+from lanemux.core.failures import Backoff, FailureCounter, TransientError, UnrecoverableError, errno_name, is_permanent
 from lanemux.core.system import System
 
 log = logging.getLogger(__name__)
@@ -22,39 +22,39 @@
 def wait_for(what: str, attempt: Callable[[], T], system: System) -> T:
     """Call `attempt` until it succeeds, where no event loop runs yet.
 
-    Raises Interrupted where a signal asks for the end, Unobtainable for an OSError that lasts, and what `attempt`
+    Raises Interrupted where a signal asks for the end, UnrecoverableError for an OSError that lasts, and what `attempt`
     raised once its patience is over."""
     backoff, told = Backoff(), ""
     while True:
         try:
             return attempt()
         except OSError as error:
-            if is_lasting(error):
-                raise Unobtainable(f"{what}: {error}") from error
-            reason = name_of(error)
-        except MomentaryError as error:
-            if backoff.paused_s >= error.patience_s:
+            if is_permanent(error):
+                raise UnrecoverableError(f"{what}: {error}") from error
+            reason = errno_name(error)
+        except TransientError as error:
+            if backoff.paused_s >= error.retry_for_s:
                 raise
-            reason = str(error) if error.patience_s > backoff.paused_s + 1 else ""
+            reason = str(error) if error.retry_for_s > backoff.paused_s + 1 else ""
         if reason and reason != told:
             log.warning("%s: %s; is tried again", what, reason)
             told = reason
         system.sleep(backoff.next_s())
-        if system.told_to_end():
+        if system.termination_pending():
             raise Interrupted(what)
 
 
 async def acquire(what: str, attempt: Callable[[], Awaitable[T]], counter: FailureCounter) -> T:
-    """Call `attempt` until it succeeds; each kind of failure is logged once. Unobtainable for an OSError that lasts."""
+    """Call `attempt` until it succeeds; each kind of failure is logged once. UnrecoverableError if an OSError lasts."""
     backoff, told = Backoff(), set[str]()
     while True:
         try:
             made = await attempt()
         except OSError as error:
-            reason = name_of(error)
+            reason = errno_name(error)
             counter.call_failed(what, reason)
-            if is_lasting(error):
-                raise Unobtainable(f"{what}: {error}") from error
+            if is_permanent(error):
+                raise UnrecoverableError(f"{what}: {error}") from error
             if reason not in told:
                 told.add(reason)
                 log.warning("%s: %s; is tried again", what, error)
@@ -81,7 +81,7 @@
     async def _acquire(self, what: str, attempt: Callable[[], Awaitable[object]]) -> None:
         try:
             await acquire(what, attempt, self._counter)
-        except Unobtainable as error:
+        except UnrecoverableError as error:
             log.error("%s; it is left out", error)
 
     def stop(self) -> None:
--- a/lanemux/net/upstream.py
+++ b/lanemux/net/upstream.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from lanemux.core.address import Address
-from lanemux.core.failures import Backoff, FailureCounter, is_local, may_pass_soon, name_of
+from lanemux.core.failures import Backoff, FailureCounter, errno_name, is_local, is_transient_connect_error
 from lanemux.interface import Result
 from lanemux.net.http import MAX_ANSWER, Message, MessageReader
 
@@ -93,7 +93,7 @@
             self.pool.hub.own(self._opening)
 
     def _time_out(self) -> None:
-        self.finish(Result.MOOT if self._never_asked and self.waiting else Result.TIMEOUT)
+        self.finish(Result.NOT_SENT if self._never_asked and self.waiting else Result.TIMEOUT)
 
     def begin_again(self) -> None:
         """Nothing of it went out, by no fault of the upstream's: it is sent on a new connection, a moment later."""
@@ -135,9 +135,9 @@
                 self.held_here_s = tried_s - begun_s if self._never_asked else 0.0
                 return
             except OSError as error:
-                if isinstance(error, TimeoutError) or not may_pass_soon(error):
+                if isinstance(error, TimeoutError) or not is_transient_connect_error(error):
                     raise
-                hub.counter.call_failed("connection to an upstream", name_of(error))
+                hub.counter.call_failed("connection to an upstream", errno_name(error))
                 self._never_asked = is_local(error)
                 if not self._never_asked and loop.time() >= begun_s + hub.connect_timeout_s:
                     raise
--- a/lanemux/net/upstream_set.py
+++ b/lanemux/net/upstream_set.py
@@ -8,11 +8,11 @@
 
 from lanemux import interface as api
 from lanemux.core.address import Address
-from lanemux.core.addresses import Addresses
+from lanemux.core.address_conflicts import AddressConflicts
 from lanemux.core.clock import now_ns
-from lanemux.core.cordons import Cordons, Word
+from lanemux.core.cordons import CordonRecord, Cordons
 from lanemux.core.membership import BadList, Entry, Listing, Membership
-from lanemux.core.source import Heard, ListSource, MakeSource
+from lanemux.core.source import ListingCallback, ListSource, SourceFactory
 from lanemux.core.system import System
 from lanemux.net.config import Config
 from lanemux.net.discovery import Discovery, read_listing
@@ -32,7 +32,7 @@
         config: Config,
         hub: Hub,
         system: System,
-        source: MakeSource | None,
+        source: SourceFactory | None,
         told: Callable[[api.ListUpdate], None],
         strayed: Callable[[], None],
     ) -> None:
@@ -40,13 +40,15 @@
         self._told, self._strayed = told, strayed
         offset_ns = system.wall_ns() - now_ns()
         self.membership = Membership(offset_ns)  # as last told
-        self._addresses = Addresses()
+        self._addresses = AddressConflicts()
         self._cordons = Cordons(offset_ns, config.settings.rules.cold_ns)
-        self.keep_word: Callable[[Word], bool] = lambda word: True  # for a process beside this one; could it be kept?
+        self.keep_word: Callable[[CordonRecord], bool] = lambda word: (
+            True
+        )  # for a process beside this one; could it be kept?
         self.source = (source or self._platform)(self.membership, random.Random(config.seed + 1), self.listed)
         self.successor: ListSource | None = None  # is to replace it, and has not told a whole list yet
 
-    def _platform(self, membership: Membership, rng: random.Random, heard: Heard) -> ListSource:
+    def _platform(self, membership: Membership, rng: random.Random, heard: ListingCallback) -> ListSource:
         return Discovery(self._config.discovery, membership, self._config.settings.discovery_push, rng, heard)
 
     def start(self) -> None:
@@ -58,13 +60,13 @@
             except BadList as error:  # it may be old anyway: one that can't be read is as none
                 log.warning("list: the known one is left out: %.120s", error)
             else:
-                self.source.take_known(listing)
+                self.source.start_from(listing)
                 entries = [e.upstream for e in self._settle(listing)]
         self._told(api.ListUpdate(api.ListKind.CACHED, entries))
 
     def sweep(self) -> None:
         """Once in a while: nothing is kept that nobody needs."""
-        self._cordons.forget(now_ns())
+        self._cordons.discard_expired(now_ns())
 
     # -- where it comes from --
 
@@ -73,7 +75,7 @@
         if isinstance(self.source, Discovery):
             self.source.move(address)
 
-    def replace_source(self, make: MakeSource | None) -> None:
+    def replace_source(self, make: SourceFactory | None) -> None:
         """Take the list from another source (None: platform discovery) from its first whole list on.
 
         Until then the old one counts: what it tells is acted on, and a new one that never answers costs nothing."""
@@ -102,28 +104,28 @@
     @property
     def cordoned(self) -> int:
         """Listed upstreams that are out by hand."""
-        return sum(h in self.membership.hosts for h in self._cordons.hosts)
+        return sum(h in self.membership.hosts for h in self._cordons.cordoned_hosts)
 
     def knows(self, host: str) -> bool:
         """Is this upstream in the list, or out by hand?"""
-        return host in self.membership.hosts or self._cordons.out(host)
+        return host in self.membership.hosts or self._cordons.is_cordoned(host)
 
     def cordon(self, host: str, out: bool) -> bool:
         """Leave an upstream out, or use it again, from now on; False where that can't be kept."""
-        if self._cordons.out(host) is out:
-            known = self._cordons.word(host)
+        if self._cordons.is_cordoned(host) is out:
+            known = self._cordons.record(host)
             return known is None or self.keep_word(known)  # it may not have been kept the first time
-        word = self._cordons.said(host, out, self._wall_ns())
-        if not self._cordons.room(host):
+        word = self._cordons.new_record(host, out, self._wall_ns())
+        if not self._cordons.has_room(host):
             return False
         self.hear_word(word)
         return self.keep_word(word)
 
-    def hear_word(self, word: Word) -> None:
+    def hear_word(self, word: CordonRecord) -> None:
         """An operator's word, said here or to a process beside this one."""
-        if self._cordons.hear(word):
-            log.info("by hand: %.80s is %s", word.host, "left out" if word.out else "used again")
-            entries = self._connect([e for e in self._addresses.listed() if e.host == word.host])
+        if self._cordons.apply(word):
+            log.info("by hand: %.80s is %s", word.host, "left out" if word.cordoned else "used again")
+            entries = self._connect([e for e in self._addresses.entries() if e.host == word.host])
             if entries:
                 self._told(api.ListUpdate(api.ListKind.DELTA, [e.upstream for e in entries]))
 
@@ -141,16 +143,16 @@
 
     def whole(self, now: int) -> api.ListUpdate:
         """All that counts now."""
-        listed = [e.upstream for e in self._cordons.handed_on(self._addresses.listed(), now)]
+        listed = [e.upstream for e in self._cordons.effective_entries(self._addresses.entries(), now)]
         return api.ListUpdate(api.ListKind.FULL, listed)
 
     def _settle(self, listing: Listing) -> list[Entry]:
         """Connections follow the list; the entries that the decisions are to know."""
-        return self._connect(self._addresses.settle(listing.entries, listing.whole), listing.whole)
+        return self._connect(self._addresses.update(listing.entries, listing.whole), listing.whole)
 
     def _connect(self, told: list[Entry], whole: bool = False) -> list[Entry]:
         """Connections follow these entries, as operators want them to be known."""
-        pools, entries = self._hub.pools, self._cordons.handed_on(told, now_ns())
+        pools, entries = self._hub.pools, self._cordons.effective_entries(told, now_ns())
         left_out = set(pools) - {e.upstream.id for e in entries} if whole else set()
         for entry in entries:
             if entry.upstream.state is api.State.GONE:
--- a/lanemux/policy.py
+++ b/lanemux/policy.py
@@ -11,10 +11,10 @@
 
 from lanemux import interface as api
 from lanemux.core.index import Index
-from lanemux.core.line import Line
+from lanemux.core.peer_report import MAX_ID, PeerReport, datagrams, read_reports
+from lanemux.core.removable_queue import RemovableQueue
 from lanemux.core.timers import Timer, Timers
-from lanemux.core.words import MAX_ID, Word, datagrams, read_words
-from lanemux.sharing import Elsewhere, price, sharers
+from lanemux.sharing import PeerLoad, message_cost, peers_sharing
 
 SECOND = 1_000_000_000
 STALL_NS = SECOND // 50  # a timer so late: the proxy itself stood still meanwhile
@@ -55,7 +55,7 @@
 BREAKS_KEPT = 0.8  # of evidence on broken connections, a feedback interval
 EVIDENCE = 8  # outcomes before a figure is believed
 FAILURES = (api.Result.FULL, api.Result.TIMEOUT, api.Result.CONNECT_FAILED)  # they count against R
-UNSEEN = (api.Result.CANCELLED, api.Result.MOOT)  # they say nothing of the connection
+UNSEEN = (api.Result.CANCELLED, api.Result.NOT_SENT)  # they say nothing of the connection
 
 
 @dataclass(slots=True, eq=False)
@@ -138,7 +138,7 @@
         self.rate = START_RATE
         self.credit = rng.random()  # phase of the ticks: proxies must not release their holds in step
         self.at = now
-        self.held: Line[Request] = Line()
+        self.held: RemovableQueue[Request] = RemovableQueue()
         self.asked = 0
         self.demand = 0.0  # requests a second, learned
         self.waking = False  # a timer for the next token is set
@@ -287,7 +287,7 @@
     asked_ns: int = 0  # the last look at it
     deaf_ns: int = 0  # the last look that broke
     peers: tuple[int, ...] = ()  # those that have it in their home too, as of `placed`
-    elsewhere: Elsewhere | None = None  # what those hold there
+    elsewhere: PeerLoad | None = None  # what those hold there
     shunned_ns: int = 0  # a peer leaves it alone until then
     word: int = 0  # number of the last word to them
     good: bool = False  # its last attempt was served
@@ -303,7 +303,7 @@
     def crowd(self, now: int) -> float:
         """Requests it is thought to hold: as reported not long ago, never under this proxy's own."""
         if self.elsewhere is not None:
-            return self.inflight + self.elsewhere.held(now)
+            return self.inflight + self.elsewhere.in_flight(now)
         return max(self.inflight, self.load) if self.told(now) else self.inflight
 
     def free_ns(self) -> int:
@@ -319,7 +319,7 @@
         self.sharers = 1.0  # proxies that have one of the home in theirs
         self.width = 0  # how many of `reach` it draws from
         self.last: Server | None = None  # the previous winner
-        self.line: Line[Request] = Line()
+        self.line: RemovableQueue[Request] = RemovableQueue()
         self.blocked_ns = 0  # the line found no upstream since
 
     def admits(self, entry: api.Upstream) -> bool:
@@ -327,7 +327,7 @@
 
     def reaches(self, server: Server) -> bool:
         """Is it one that this pool draws from now?"""
-        return self.at_home(server) or server in self.reach[self.home : self.width]
+        return self.in_subset(server) or server in self.candidates[self.subset_size : self.width]
 
 
 class Fleet:
@@ -443,43 +443,45 @@
         connections have a price the home is small, and in the proxy's own zone if crossing has one too."""
         me, prices = self.settings.me, self.settings.prices
         proxies = max(1, self.settings.replicas_of_me)
-        n, ready, first = pool.near, len(pool), me * pool.near // proxies
+        n, ready, first = pool.near_count, len(pool), me * pool.near_count // proxies
         if n < ready or pool.zones is not None:
             # Which peers share the zone is not told: golden-ratio steps are even over any part of them.
             proxies, first = max(1, proxies // max(1, len(self.settings.zones))), int(me * GOLDEN % 1 * n)
         least = DEAR_HOME if prices.connection > 0 else max(HOME[0], min(HOME[1], SHARED * n // proxies))
-        pool.settle(first, ready if self.looks else min(n, max(least, -(-n // proxies))))
-        pool.width = pool.home
-        pool.sharers = proxies * pool.home / n if n else 1.0
-        self.tells = self.may_tell and proxies > 1 and price(pool.sharers, prices.peer) <= TELL_PRICE
+        pool.set_subset(first, ready if self.looks else min(n, max(least, -(-n // proxies))))
+        pool.width = pool.subset_size
+        pool.sharers = proxies * pool.subset_size / n if n else 1.0
+        self.tells = self.may_tell and proxies > 1 and message_cost(pool.sharers, prices.peer) <= TELL_PRICE
 
     def place(self, s: Server) -> Server:
         """The same, with `own` and `sharers` as they are now."""
         if s.placed != self.arranged:
-            homes = [p.sharers for p in self.pools.values() if p.at_home(s)]
+            homes = [p.sharers for p in self.pools.values() if p.in_subset(s)]
             s.placed, s.own, s.sharers = self.arranged, bool(homes), max([1.0, *homes])
-            at, settings = self.any.place(s) if self.tells else None, self.settings
+            at, settings = self.any.position(s) if self.tells else None, self.settings
             s.peers = (
-                () if at is None else sharers(at, self.any.near, self.any.home, settings.replicas_of_me, settings.me)
+                ()
+                if at is None
+                else peers_sharing(at, self.any.near_count, self.any.subset_size, settings.replicas_of_me, settings.me)
             )
         return s
 
-    def heard(self, peer: int, word: Word, now: int) -> Server | None:
+    def heard(self, peer: int, word: PeerReport, now: int) -> Server | None:
         """Take a peer's word on an upstream that this proxy's own list has named; the one it shuns for it."""
         s = self.servers.get(word.upstream)
         if s is None:
             return None
         if s.elsewhere is None:
-            s.elsewhere = Elsewhere(self.word_ns)
-        if not s.elsewhere.hear(peer, word, now):
+            s.elsewhere = PeerLoad(self.word_ns)
+        if not s.elsewhere.update(peer, word, now):
             return None
-        if word.good and not word.rest_ns:
+        if word.last_ok and not word.avoid_ns:
             s.strikes = s.shunned_ns = 0  # what one has found out, all know
-        if now + word.rest_ns <= s.free_ns() or not word.rest_ns or not self._may_leave(s, now):
+        if now + word.avoid_ns <= s.free_ns() or not word.avoid_ns or not self._may_leave(s, now):
             return None
         # Its next failure here is not the first one, or each in turn would begin with the shortest rest.
         s.strikes = max(1, s.strikes) if s.free_ns() > now else s.strikes + 1
-        s.shunned_ns, self.barred[s.id] = now + word.rest_ns, s
+        s.shunned_ns, self.barred[s.id] = now + word.avoid_ns, s
         return s
 
     def cold(self, s: Server, now: int) -> bool:
@@ -516,7 +518,7 @@
     def fit(self, s: Server, now: int) -> bool:
         if s.entry.state is not api.State.READY or now < s.barred_ns or now < s.shunned_ns:
             return False
-        if s.elsewhere is not None and (s.strikes or s.shunned_ns) and s.elsewhere.held(now):
+        if s.elsewhere is not None and (s.strikes or s.shunned_ns) and s.elsewhere.in_flight(now):
             return False  # somebody tries it already
         return s.inflight < self.limit_of(s, now)
 
@@ -567,7 +569,7 @@
     def load(self, now: int) -> float | None:
         """Requests that an upstream holds on average, by what they last reported; None: nothing is known."""
         if self.tells:  # of those that it draws from and that work
-            told = [s.crowd(now) for s in self.any.reach[:SCAN] if now >= s.free_ns()]
+            told = [s.crowd(now) for s in self.any.candidates[:SCAN] if now >= s.free_ns()]
         else:
             told = [s.load for s in self.servers.values() if s.entry.state is api.State.READY and s.told(now)]
         return sum(told) / len(told) if told else None
@@ -575,7 +577,7 @@
     def draw(self, pool: Pool, count: int, now: int) -> list[Server]:
         """So many random draws from the fit ones within reach, and the previous winner."""
         n, chance = pool.width, self.rng.random
-        near = pool.reach[:n] if n <= SCAN else [pool.reach[int(chance() * n)] for _ in range(SCAN)]
+        near = pool.candidates[:n] if n <= SCAN else [pool.candidates[int(chance() * n)] for _ in range(SCAN)]
         fit = [s for s in near if self.fit(s, now)]
         drawn = [fit[int(chance() * len(fit))] for _ in range(count)] if fit else []
         if pool.last is not None and self.fit(pool.last, now) and pool.reaches(pool.last):
@@ -586,7 +588,7 @@
         """The lightest, by requests held and learned speed, of two draws and the previous winner."""
         if self.tells:
             # What all hold is known: the lightest of all within reach, by chance among those about alike.
-            near = pool.reach[: pool.width] if allowed is None else allowed
+            near = pool.candidates[: pool.width] if allowed is None else allowed
             drawn, unlike = [s for s in near if self.fit(s, now)][:SCAN], UNLIKE
         else:
             drawn = self.draw(pool, DRAWS, now) if allowed is None else [s for s in allowed if self.fit(s, now)]
@@ -734,13 +736,13 @@
                 self._probed(e, now)
             elif type(e) is api.PeerMessage:
                 self._peer(e, now)
-            elif type(e) is api.AnswerBegun:
+            elif type(e) is api.ResponseStarted:
                 self._begun(e, now)
-            elif type(e) is api.Truth:
-                self._mend(e.calls, now)
-            elif type(e) is api.Wake and e.name == str(self.timer):
+            elif type(e) is api.Resync:
+                self._mend(e.requests, now)
+            elif type(e) is api.TimerFired and e.name == str(self.timer):
                 self.timer_ns = 0  # by its name, not the clock: a timer may come a little early
-        for what, about, extra in self.due.ring(now):
+        for what, about, extra in self.due.pop_due(now):
             self._look(what, about, extra, now)
         for pool in self.fleet.pools.values():
             self._pump(pool, now)
@@ -780,7 +782,7 @@
             "tenants": {n: [t.rate, t.u - t.hold, t.demand] for n, t in self.throttles.items()},
         }
 
-    def _mend(self, calls: Mapping[str, api.Held], now: int) -> None:
+    def _mend(self, calls: Mapping[str, api.HeldRequest], now: int) -> None:
         """A batch was lost half way: go on from what the proxy really holds.
 
         Guards against an exception in here whose actions are lost with it: what had been sent would count in
@@ -789,7 +791,7 @@
         for s in self.fleet.servers.values():
             s.inflight = 0
         for pool in self.fleet.pools.values():
-            pool.line = Line()
+            pool.line = RemovableQueue()
         for t in self.throttles.values():
             for r in [r for r in t.held if r.id not in calls or r.place != "held"]:
                 t.leave(r)
@@ -798,7 +800,7 @@
             self._settle(r.giving_up)
             held = calls.get(r.id) if not r.over else None
             for a in [a for a in r.attempts if a.result is None]:
-                if held is not None and held.out and a is r.attempts[: held.sends][-1]:
+                if held is not None and held.in_flight and a is r.attempts[: held.sends][-1]:
                     a.server.inflight += not r.begun_ns
                 else:
                     a.learn(api.Result.CANCELLED, self.settings.rules)
@@ -842,7 +844,7 @@
 
     def _settle(self, timer: Timer[Due] | None) -> None:
         if timer is not None:
-            self.due.settle(timer)
+            self.due.cancel(timer)
 
     def _arrival(self, e: api.Arrival, now: int) -> None:
         if e.request in self.requests:
@@ -902,7 +904,7 @@
             self.actions.append(api.Probe(server.id))
 
     def _peer(self, e: api.PeerMessage, now: int) -> None:
-        for word in read_words(e.data) if self.fleet.tells else ():
+        for word in read_reports(e.data) if self.fleet.tells else ():
             server = self.fleet.heard(e.sender, word, now)
             if server is not None:
                 self._later(server.shunned_ns, "pump")
@@ -919,11 +921,11 @@
             peers = self.fleet.place(s).peers if s.id <= MAX_ID else ()
             if peers:
                 s.word += 1
-                data = Word(s.id, s.word, s.inflight, s.barred_ns - now if s.strikes else 0, s.good).data()
+                data = PeerReport(s.id, s.word, s.inflight, s.barred_ns - now if s.strikes else 0, s.good).encode()
                 for peer in peers:
                     words.setdefault(peer, []).append(data)
         self.changed.clear()
-        self.actions += [api.Tell(data, peer) for peer, data in datagrams(words)]
+        self.actions += [api.SendToPeer(data, peer) for peer, data in datagrams(words)]
 
     def _outcome(self, e: api.Outcome, now: int) -> None:
         server = self.fleet.servers.get(e.upstream)
@@ -968,7 +970,7 @@
         if r.over and not r.out:
             self.requests.pop(r.id, None)
 
-    def _begun(self, e: api.AnswerBegun, now: int) -> None:
+    def _begun(self, e: api.ResponseStarted, now: int) -> None:
         """A long answer passes on as it comes. Its upstream has done the work: it has room for another request.
 
         Guards against readers who take seconds for an answer filling every place that upstreams are thought to
@@ -1015,7 +1017,7 @@
         """Nothing is out and nothing was served: another attempt, or the final answer."""
         if (
             r.attempts
-            and any(r.may_send(s, now, self.settings.limits) for s in self._choices(r) or r.pool.reach[:1])
+            and any(r.may_send(s, now, self.settings.limits) for s in self._choices(r) or r.pool.candidates[:1])
             and now < r.give_up_ns
         ):
             r.pool.line.appendleft(r)
@@ -1167,7 +1169,7 @@
         self.crowding.settle()
         fleet.settle()
         for pool in fleet.pools.values():  # one beyond the home while the line waits; more cost connections
-            pool.width = min(len(pool.reach), pool.home + bool(pool.blocked_ns))
+            pool.width = min(len(pool.candidates), pool.subset_size + bool(pool.blocked_ns))
         load = fleet.load(now)
         took = self.crowding.mean if load is None else self.crowding.time(load + 1)
         self.rate.adjust(now, fleet.any.width, load is None or load >= CROWDED, took <= ROOM_PART * self.patience_ns)
--- a/lanemux/sharing.py
+++ b/lanemux/sharing.py
@@ -13,22 +13,22 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from lanemux.core.words import FORM, MESSAGE, Word
+from lanemux.core.peer_report import MAX_DATAGRAM, REPORT_FORMAT, PeerReport
 
-MOST_TOLD = 16  # most that one word goes to: work on a request must not grow with the fleet
+MAX_RECIPIENTS = 16  # most that one word goes to: work on a request must not grow with the fleet
 CLAIM = 1  # requests that a peer may claim to hold beyond what any other does
 WORDS = 2  # an attempt: at its start and at its end
 
 
-def price(peers: float, price_a_message: float) -> float:
+def message_cost(peers: float, price_a_message: float) -> float:
     """What the words of one attempt cost, told to so many, by the price of a full message a request."""
-    return price_a_message * WORDS * peers * FORM.size / MESSAGE
+    return price_a_message * WORDS * peers * REPORT_FORMAT.size / MAX_DATAGRAM
 
 
-def sharers(place: int, upstreams: int, home: int, proxies: int, me: int) -> tuple[int, ...]:
+def peers_sharing(place: int, upstreams: int, home: int, proxies: int, me: int) -> tuple[int, ...]:
     """The balancers, but for `me`, whose homes hold the upstream at that place of the ring.
 
-    A balancer's home begins at `number * upstreams // proxies` and has `home` upstreams. With more than MOST_TOLD
+    A balancer's home begins at `number * upstreams // proxies` and has `home` upstreams. With more than MAX_RECIPIENTS
     of them, those that follow `me`: each then knows of some of the others what they hold."""
     if home >= upstreams:
         first, last = me + 1, me + proxies - 1
@@ -36,12 +36,12 @@
         first = -(-(place - home + 1) * proxies // upstreams)
         last = -(-(place + 1) * proxies // upstreams) - 1
     count = last - first + 1
-    if count > MOST_TOLD:
-        first, count = me + 1, min(MOST_TOLD, proxies - 1)
+    if count > MAX_RECIPIENTS:
+        first, count = me + 1, min(MAX_RECIPIENTS, proxies - 1)
     return tuple(p for p in ((first + i) % proxies for i in range(count)) if p != me)
 
 
-def believed(claims: Sequence[int]) -> int:
+def credible_load(claims: Sequence[int]) -> int:
     """Requests that peers hold at an upstream, of what they claim: each at most CLAIM more than the next one.
 
     Guards against one that claims many everywhere and so makes its neighbours refuse what their upstreams could
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class ReceivedReport:
     """The last word of one peer on one upstream."""
 
     number: int
@@ -63,35 +63,35 @@
 
 
 @dataclass(slots=True)
-class Elsewhere:
+class PeerLoad:
     """What peers hold at one upstream, as far as their words have come."""
 
-    kept_ns: int  # after this, all that a word told of has ended
-    told: dict[int, Told] = field(default_factory=dict)
+    expiry_ns: int  # after this, all that a word told of has ended
+    reports: dict[int, ReceivedReport] = field(default_factory=dict)
     sum: int = 0
     due_ns: int = 0  # when the first of the words that make up the sum is to be forgotten
 
-    def hear(self, peer: int, word: Word, now: int) -> bool:
+    def update(self, peer: int, word: PeerReport, now: int) -> bool:
         """Take a peer's word; False for one that a later one has overtaken."""
-        last = self.told.get(peer)
-        if last is not None and now - last.heard_ns < self.kept_ns and (word.number - last.number) % 256 >= 128:
+        last = self.reports.get(peer)
+        if last is not None and now - last.heard_ns < self.expiry_ns and (word.sequence - last.number) % 256 >= 128:
             return False
-        if last is None and len(self.told) >= 2 * MOST_TOLD:
+        if last is None and len(self.reports) >= 2 * MAX_RECIPIENTS:
             self._forget(now)
-            if len(self.told) >= 2 * MOST_TOLD:
+            if len(self.reports) >= 2 * MAX_RECIPIENTS:
                 return False
-        self.told[peer] = Told(word.number, word.held, now)
+        self.reports[peer] = ReceivedReport(word.sequence, word.in_flight, now)
         self.due_ns = 0
         return True
 
-    def held(self, now: int) -> int:
+    def in_flight(self, now: int) -> int:
         """Requests that peers have there."""
         if now >= self.due_ns:
             self._forget(now)
-            self.sum = believed([t.held for t in self.told.values()])
-            self.due_ns = min((t.heard_ns for t in self.told.values()), default=now) + self.kept_ns
+            self.sum = credible_load([t.held for t in self.reports.values()])
+            self.due_ns = min((t.heard_ns for t in self.reports.values()), default=now) + self.expiry_ns
         return self.sum
 
     def _forget(self, now: int) -> None:
-        for peer in [p for p, t in self.told.items() if now - t.heard_ns >= self.kept_ns]:
-            del self.told[peer]
+        for peer in [p for p, t in self.reports.items() if now - t.heard_ns >= self.expiry_ns]:
+            del self.reports[peer]
--- a/lanemux/storm/module.py
+++ b/lanemux/storm/module.py
@@ -115,8 +115,8 @@
                 self._lost(event.request)
             elif type(event) is api.ListUpdate:
                 strange = True
-            elif type(event) is api.Truth:  # the ends of others were lost
-                self._open = {name: cls for name, cls in self._open.items() if name in event.calls}
+            elif type(event) is api.Resync:  # the ends of others were lost
+                self._open = {name: cls for name, cls in self._open.items() if name in event.requests}
         return strange
 
     def _told(self, events: list[api.Event], now: int) -> list[api.Event]:
@@ -159,7 +159,7 @@
         self._returns.bear(max(1.0, served if self.phase is Phase.STORM else self._capacity), gauge.rate)
         return (
             [
-                api.Note(
+                api.WriteLog(
                     f"storm: {was.value} -> {self.phase.value}; of what comes {gauge.retries:.0%} are retries, of "
                     f"what ends {gauge.unmet:.0%} is not served"
                 )
--- a/lanemux/storm/restarts.py
+++ b/lanemux/storm/restarts.py
@@ -14,7 +14,7 @@
 MS = 1_000_000
 SPAN_NS = 50 * MS  # from a refusal to the answer, at the least: a connection that broke by chance is tried again sooner
 COMMON, LEAST = 0.7, 3  # more of the list than this refuse at once: that is this proxy, out of descriptors, not they
-SILENT = (api.Result.MOOT, api.Result.CANCELLED, api.Result.TIMEOUT, api.Result.RESET)  # they say neither
+SILENT = (api.Result.NOT_SENT, api.Result.CANCELLED, api.Result.TIMEOUT, api.Result.RESET)  # they say neither
 
 
 @dataclass(slots=True)
--- a/lanemux/takeover/shared.py
+++ b/lanemux/takeover/shared.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Callable
 
-from lanemux.core.cordons import MAX_CORDONS, Word
+from lanemux.core.cordons import MAX_CORDONS, CordonRecord
 from lanemux.core.system import System
 from lanemux.takeover.words import ENDING, MAX_WORD, file_name, read, written
 
@@ -18,7 +18,7 @@
 class Shared:
     """One folder of words. `heard` is called for each word that is new to this process."""
 
-    def __init__(self, system: System, folder: str, heard: Callable[[Word], None]) -> None:
+    def __init__(self, system: System, folder: str, heard: Callable[[CordonRecord], None]) -> None:
         self._system = system
         self._folder = folder
         self._heard = heard
@@ -31,16 +31,16 @@
     def open(self) -> None:
         """Read what there is, and go on looking. Without effect where the folder can't be had: that is logged."""
         try:
-            self._system.make_folder(self._folder)
+            self._system.make_directory(self._folder)
         except OSError as error:
             log.warning("takeover: %s: %s; words of operators stay in this process", self._folder, error.strerror)
         self._look()
 
-    def tell(self, word: Word) -> bool:
+    def tell(self, word: CordonRecord) -> bool:
         """Keep a word for the other process; False if that can't be done."""
         name, text = file_name(word.host), written(word)
         try:
-            self._system.replace(f"{self._folder}/{name}", text)
+            self._system.write_atomic(f"{self._folder}/{name}", text)
         except OSError as error:
             log.warning("takeover: a word on %.80s can't be kept: %s", word.host, error.strerror)
             return False
@@ -50,12 +50,12 @@
     def _look(self) -> None:
         self._looking = asyncio.get_running_loop().call_later(LOOK_S, self._look)
         try:
-            changed_ns = self._system.changed_ns(self._folder)
+            changed_ns = self._system.directory_mtime_ns(self._folder)
             # File times are as coarse as the kernel's tick: a word kept in the tick of the last look shows no change.
             same = changed_ns == self._changed_ns
             if same and self._settled:
                 return
-            names = sorted(n for n in self._system.names(self._folder) if n.endswith(ENDING))[:MAX_CORDONS]
+            names = sorted(n for n in self._system.list_directory(self._folder) if n.endswith(ENDING))[:MAX_CORDONS]
         except OSError as error:
             if not self._failing:
                 log.warning("takeover: %s: %s", self._folder, error.strerror)
--- a/lanemux/takeover/words.py
+++ b/lanemux/takeover/words.py
@@ -5,7 +5,7 @@
 import hashlib
 import json
 
-from lanemux.core.cordons import Word
+from lanemux.core.cordons import CordonRecord
 
 VERSION = 1
 ENDING = ".word"
@@ -17,12 +17,12 @@
     return hashlib.blake2b(host.encode(errors="surrogatepass"), digest_size=16).hexdigest() + ENDING
 
 
-def written(word: Word) -> bytes:
+def written(word: CordonRecord) -> bytes:
     """The file's text."""
-    return json.dumps({"version": VERSION, "host": word.host, "out": word.out, "at_ns": word.at_ns}).encode()
+    return json.dumps({"version": VERSION, "host": word.host, "out": word.cordoned, "at_ns": word.at_ns}).encode()
 
 
-def read(text: bytes) -> Word:
+def read(text: bytes) -> CordonRecord:
     """The word of a file; ValueError for one that is torn, foreign or of another version."""
     try:
         told = json.loads(text)
@@ -33,4 +33,4 @@
     host, out, at_ns = told.get("host"), told.get("out"), told.get("at_ns")
     if not (isinstance(host, str) and host and isinstance(out, bool) and type(at_ns) is int and at_ns > 0):
         raise ValueError("no host, out or at_ns")
-    return Word(host, out, at_ns)
+    return CordonRecord(host, out, at_ns)
--- a/lanemux/virtual/faults/box.py
+++ b/lanemux/virtual/faults/box.py
@@ -123,7 +123,7 @@
         def back() -> None:
             slots = self._stage.plan.boxes[other].slot, self._stage.plan.boxes[box].slot
             for one, slot in zip((box, other), slots, strict=True):
-                self._stage.traded[self._stage.ids.number(self._stage.plan.boxes[one].host)] = one
+                self._stage.traded[self._stage.ids.id_of(self._stage.plan.boxes[one].host)] = one
                 self._stage.plan.boxes[one] = dataclasses.replace(self._stage.plan.boxes[one], slot=slot)
                 boxes.hosts[one].box, boxes.hosts[one].addresses = (
                     self._stage.plan.boxes[one],
--- a/lanemux/virtual/leftovers.py
+++ b/lanemux/virtual/leftovers.py
@@ -37,7 +37,7 @@
     return {
         host: HEALTH.get(last.upstream.state, "?")
         for host in sorted(membership.hosts)
-        if (last := membership.last(host)) is not None
+        if (last := membership.last_entry(host)) is not None
     }
 
 
--- a/lanemux/virtual/process.py
+++ b/lanemux/virtual/process.py
@@ -112,10 +112,10 @@
     def wall_ns(self) -> int:
         return self.world.agenda.now_ns + self.wall_offset_ns
 
-    def spent_s(self) -> float:
+    def cpu_time_s(self) -> float:
         return 0.05
 
-    def most_kib(self) -> int:
+    def peak_rss_kib(self) -> int:
         return 16 * 1024
 
     def since_last_data_s(self, connection: object) -> float:
@@ -130,7 +130,7 @@
     def sleep(self, for_s: float) -> None:
         """A virtual process has its loop from the first moment on: nothing waits without one."""
 
-    def told_to_end(self) -> bool:
+    def termination_pending(self) -> bool:
         return False
 
     def listen(self, address: Address, backlog: int) -> VirtualListener:
@@ -142,16 +142,16 @@
     def read(self, path: str, most: int) -> bytes:
         return self.disk.read(path, most)
 
-    def replace(self, path: str, data: bytes) -> None:
+    def write_atomic(self, path: str, data: bytes) -> None:
         self.disk.replace(path, data)
 
-    def make_folder(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         """A virtual disk needs no folders."""
 
-    def names(self, folder: str) -> list[str]:
+    def list_directory(self, folder: str) -> list[str]:
         return self.disk.names(folder)
 
-    def changed_ns(self, folder: str) -> int:
+    def directory_mtime_ns(self, folder: str) -> int:
         return self.disk.changes
 
     # -- life --
--- a/lanemux/virtual/stage.py
+++ b/lanemux/virtual/stage.py
@@ -17,7 +17,7 @@
 
 from lanemux import interface as api
 from lanemux.core.membership import Membership
-from lanemux.core.source import MakeSource
+from lanemux.core.source import SourceFactory
 from lanemux.net.config import read_config
 from lanemux.net.daemon import serve
 from lanemux.net.decisions import Module
@@ -364,9 +364,9 @@
     def _closed_at(self, balancer: int, box: int) -> list[list[int]]:
         if box in self.traded.values():
             return []  # it is reached where a balancer still believes another one, until it reads better
-        return self.closed.get(balancer, {}).get(self.ids.number(self.plan.boxes[box].host), [])
+        return self.closed.get(balancer, {}).get(self.ids.id_of(self.plan.boxes[box].host), [])
 
-    def _make_source(self, balancer: RestartableBalancer, process: Process) -> MakeSource | None:
+    def _make_source(self, balancer: RestartableBalancer, process: Process) -> SourceFactory | None:
         if self.plan.scenario.discovery.source == "agent":
             return None
         from lanemux.etcd.member import Target
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -13,8 +13,8 @@
 
 from lanemux import interface as api
 from lanemux.admin.server import MAX_CONNECTIONS, AdminServer
-from lanemux.core.cordons import Word
-from lanemux.core.readiness import AWAY_S
+from lanemux.core.cordons import CordonRecord
+from lanemux.core.readiness import QUIESCE_S
 from lanemux.core.system import Machine
 from lanemux.net.node import Node
 from lanemux.policy import Balancer
@@ -129,7 +129,7 @@
 
             script.react = react
             assert (await client.ask(request())).status == 503
-            assert script.of(api.Outcome)[0].result is api.Result.MOOT
+            assert script.of(api.Outcome)[0].result is api.Result.NOT_SENT
             assert upstream.got == []
             assert script.of(api.ListUpdate)[-1].upstreams[0].state is api.State.DRAINING
 
@@ -188,7 +188,7 @@
             last = await busy.ask(request())
             assert last.status == 200 and last.headers["connection"] == "close" and await busy.closed()
             assert await idle.closed()
-            await asyncio.sleep(max(0.0, begun + AWAY_S + 0.2 - time.monotonic()))
+            await asyncio.sleep(max(0.0, begun + QUIESCE_S + 0.2 - time.monotonic()))
             assert (await client.another().ask(request())).status == 503
             assert (await call(port, "PUT /admin/resume")).status == 200
             assert (await call(port, "GET /admin/health")).status == 200
@@ -216,15 +216,15 @@
         upstream = await Upstream(answers(200)).start()
         async with node(Script(), upstream) as client, admin_server(client.node) as port:
             kept: list[bool] = [False, True]
-            told: list[Word] = []
+            told: list[CordonRecord] = []
 
-            def keep(word: Word) -> bool:
+            def keep(word: CordonRecord) -> bool:
                 told.append(word)
                 return kept[len(told) - 1]
 
             client.node.upstream_set.keep_word = keep
             assert (await call(port, "PUT /admin/cordon/s0")).status == 507
             assert (await call(port, "PUT /admin/cordon/s0")).status == 200
-            assert told[0] == told[1] and told[0].out
+            assert told[0] == told[1] and told[0].cordoned
 
     run(test())
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -96,7 +96,7 @@
             self.now = min(end, self.now + step_ns)
             due = sorted(t for t in self.timers if t[0] <= self.now)
             self.timers = [t for t in self.timers if t[0] > self.now]
-            events: list[api.Event] = [api.Wake(name) for _, name in due]
+            events: list[api.Event] = [api.TimerFired(name) for _, name in due]
             for request, number in self.out():
                 if self.deadline[request] <= self.now:
                     events.append(self.result(request, number, api.Result.TIMEOUT))
@@ -164,7 +164,7 @@
             assert self.config.limits.may_cancel and a.attempt < len(self.sends[a.request])
         elif isinstance(a, api.Probe):
             assert self.config.limits.probes and a.upstream in self.list
-        elif isinstance(a, api.Tell):
+        elif isinstance(a, api.SendToPeer):
             assert self.config.limits.peers and len(a.data) <= 256
         elif isinstance(a, api.SetTimer):
             assert a.delay_ns > 0
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanemux.core.words import read_words
+from lanemux.core.peer_report import read_reports
 from lanemux.fleet import ballots, election, wire
 from lanemux.fleet.election import Ballot, Round, Seat, Step, Word
 from lanemux.fleet.wire import BadMessage
@@ -162,7 +162,7 @@
 @given(WORDS)
 def test_a_word_between_seats_is_read_as_it_was_written_and_cut_by_nobody(word: Word) -> None:
     data = ballots.written(word)
-    assert ballots.read(data) == word and ballots.is_ballot(data) and read_words(data) == []
+    assert ballots.read(data) == word and ballots.is_ballot(data) and read_reports(data) == []
     for length in range(len(data)):
         with pytest.raises(BadMessage):
             ballots.read(data[:length])
--- a/tests/cluster/test_following.py
+++ b/tests/cluster/test_following.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanemux.core.words import read_words
+from lanemux.core.peer_report import read_reports
 from lanemux.fleet import ballots, following
 from lanemux.fleet.election import Seat
 from lanemux.fleet.following import Follower, Kind, Word
@@ -180,7 +180,7 @@
 @given(WORDS)
 def test_a_word_on_who_leads_is_read_as_it_was_written_and_cut_by_nobody(word: Word) -> None:
     data = following.written(word)
-    assert following.read(data) == word and following.is_following(data) and read_words(data) == []
+    assert following.read(data) == word and following.is_following(data) and read_reports(data) == []
     for length in range(len(data)):
         with pytest.raises(BadMessage):
             following.read(data[:length])
--- a/tests/etcd/test_drains.py
+++ b/tests/etcd/test_drains.py
@@ -43,7 +43,7 @@
 
     def _react(self, event: api.Event) -> Iterable[api.Action]:
         if isinstance(event, api.Arrival):
-            return [api.Send(event.request, self.numbers.number(host(int(event.key))))]
+            return [api.Send(event.request, self.numbers.id_of(host(int(event.key))))]
         if isinstance(event, api.Outcome) and not event.complete:
             return [api.Fail(event.request)]
         return ()
--- a/tests/etcd/test_histories.py
+++ b/tests/etcd/test_histories.py
@@ -239,12 +239,12 @@
             for c in self.store.rows(PREFIX, END)
             if c.key[len(PREFIX) :].decode(errors="replace") in HOSTS
         }
-        expected = {numbers.number(h): (r["health"], r["dial"], r["site"]) for h, r in stored.items()}
+        expected = {numbers.id_of(h): (r["health"], r["dial"], r["site"]) for h, r in stored.items()}
         states = {api.State.READY: "up", api.State.DRAINING: "draining"}
         told = {
             i: (states[e.upstream.state], "{}:{}".format(*e.address), e.upstream.zone)
             for i, e in self.told.items()
-            if i != numbers.number(ODD)
+            if i != numbers.id_of(ODD)
         }
         return told == expected and not self.board.pending
 
@@ -409,7 +409,7 @@
 
 def test_a_first_list_that_is_empty_does_not_empty_what_was_known_before() -> None:
     membership = Membership(0)
-    membership.take([{"host": "a", "dial": "127.0.0.1:1", "health": "up"}], True, 1)
+    membership.apply([{"host": "a", "dial": "127.0.0.1:1", "health": "up"}], True, 1)
     board = Board(membership, PREFIX)
     board.begin()
     board.whole(False, 1)
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -86,7 +86,7 @@
         numbers = Membership(0)
         rows = self.standin.store.rows(key(""), key("")[:-1] + b"0")
         return {
-            numbers.number(c.key[len(PREFIX) :].decode()): int(json.loads(c.value or b"")["dial"].split(":")[1])
+            numbers.id_of(c.key[len(PREFIX) :].decode()): int(json.loads(c.value or b"")["dial"].split(":")[1])
             for c in rows
         }
 
@@ -103,7 +103,7 @@
         addresses[0] = (await relay.start()).address
     membership, told = Membership(0), Told()
     if known is not None:
-        membership.take(known, True, 1)  # type: ignore[arg-type]
+        membership.apply(known, True, 1)  # type: ignore[arg-type]
     target = Target(tuple(addresses), PREFIX, user, password_file)
     following = EtcdSource(target, membership, random.Random(1), told.hear)
     following._endpoints = list(target.endpoints)
@@ -458,16 +458,16 @@
             node.upstream_set.replace_source(Make(Target((standin.address,), PREFIX)))
             await until(lambda: standin.lists >= 2)
             registry.change("d")  # the old one still counts
-            await until(lambda: numbers.number("d") in pools)
+            await until(lambda: numbers.id_of("d") in pools)
             standin.faults.refuse_lists = ""
-            await until(lambda: set(pools) == {numbers.number("b"), numbers.number("c")})
+            await until(lambda: set(pools) == {numbers.id_of("b"), numbers.id_of("c")})
             calls = len(registry.calls)
             standin.store.write([(key("e"), row(5))])
             standin.changed()
-            await until(lambda: numbers.number("e") in pools)
+            await until(lambda: numbers.id_of("e") in pools)
             node.upstream_set.replace_source(None)  # and back
-            await until(lambda: len(registry.calls) > calls and numbers.number("a") in pools)
-            assert set(pools) == {numbers.number(h) for h in "abd"}
+            await until(lambda: len(registry.calls) > calls and numbers.id_of("a") in pools)
+            assert set(pools) == {numbers.id_of(h) for h in "abd"}
             await until(lambda: not standin._handlers)
         await standin.stop()
 
--- a/tests/faults/test_clocks.py
+++ b/tests/faults/test_clocks.py
@@ -27,7 +27,7 @@
 
 def ages_s(known: Membership, rows: list[dict[str, Any]], whole: bool, now_s: float) -> dict[str, float]:
     """How old each upstream is taken to be."""
-    entries = known.take(rows, whole, int(now_s * SECOND))
+    entries = known.apply(rows, whole, int(now_s * SECOND))
     return {e.host: now_s - e.upstream.started_ns / SECOND for e in entries}
 
 
@@ -70,5 +70,5 @@
     # Discovery could not be asked for 20 s: what started meanwhile is no younger for it.
     assert ages_s(known, [row("b", 55.0)], False, 70.0)["b"] == pytest.approx(15.0, abs=0.01)
     # A host that left the list and is back has not started again.
-    known.take([{**row("a", 40.0), "health": "removed"}], False, 71 * SECOND)
+    known.apply([{**row("a", 40.0), "health": "removed"}], False, 71 * SECOND)
     assert ages_s(known, [row("a", 40.0)], False, 80.0)["a"] == pytest.approx(40.0, abs=0.01)
--- a/tests/faults/test_connect.py
+++ b/tests/faults/test_connect.py
@@ -62,7 +62,7 @@
         async with node(script, upstream, connect_timeout_ns=50 * MS) as client:
             connect_fails(monkeypatch, upstream.port, error, FAILS_S)
             assert (await client.ask(request())).status == 503
-            assert [outcome.result for outcome in script.of(api.Outcome)] == [api.Result.MOOT]
+            assert [outcome.result for outcome in script.of(api.Outcome)] == [api.Result.NOT_SENT]
 
     run(test())
 
--- a/tests/faults/test_files.py
+++ b/tests/faults/test_files.py
@@ -43,7 +43,7 @@
 
     monkeypatch.setattr(os, "fsync", synced)
     monkeypatch.setattr(os, "replace", renamed)
-    Machine().replace(str(tmp_path / "word"), NEW)
+    Machine().write_atomic(str(tmp_path / "word"), NEW)
     assert calls == ["file", "rename", "folder"]
     assert (tmp_path / "word").read_bytes() == NEW
 
@@ -57,6 +57,6 @@
     path.write_bytes(OLD)
     failing(monkeypatch, call, nth, error)
     with pytest.raises(OSError):
-        Machine().replace(str(path), NEW)
+        Machine().write_atomic(str(path), NEW)
     assert path.read_bytes() in (OLD, NEW)
     assert [p.name for p in tmp_path.iterdir()] == ["word"]  # nothing half made is left
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -154,10 +154,10 @@
         fleet, numbers = self.balancers[liar].fleet, itertools.count(1)
 
         def say() -> None:
-            for server in fleet.any.reach[: fleet.any.home]:
+            for server in fleet.any.candidates[: fleet.any.subset_size]:
                 word = struct.pack(">IBBB", server.id, next(numbers) % 256, held, 0)
                 for peer in fleet.place(server).peers:
-                    self._tell(liar, api.Tell(word, peer))
+                    self._tell(liar, api.SendToPeer(word, peer))
             if self.now < end:
                 self.at(self.now + every_ns, say)
 
@@ -188,14 +188,14 @@
         for action in self.balancers[i].handle(self.now, [event]):
             if isinstance(action, api.SetTimer):
                 name = action.name
-                self.at(self.now + action.delay_ns, lambda name=name: self.hand(i, api.Wake(name)))  # type: ignore[misc]
+                self.at(self.now + action.delay_ns, lambda name=name: self.hand(i, api.TimerFired(name)))  # type: ignore[misc]
             elif isinstance(action, api.Send):
                 self._send(i, action)
             elif isinstance(action, api.Refuse | api.Fail):
                 self.ended["refused"] += 1
                 self.refused_by[i] += 1
                 self._turned_away(i, action.request, getattr(action, "retry_after_ns", 0))
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, api.SendToPeer):
                 self._tell(i, action)
             elif isinstance(action, api.Probe):
                 self.at(self.now + LOOK_NS, lambda upstream=action.upstream: self._look(i, upstream))  # type: ignore[misc]
@@ -261,7 +261,7 @@
         self.ended["late"] += not in_time
         return in_time
 
-    def _tell(self, i: int, action: api.Tell) -> None:
+    def _tell(self, i: int, action: api.SendToPeer) -> None:
         self.told += 1
         peer = (action.peer * 7 + 3) % len(self.balancers) if i in self._misplaced else action.peer
         event = api.PeerMessage(i, action.data)
--- a/tests/members/test_wire.py
+++ b/tests/members/test_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanemux.core.words import FORM, MESSAGE, read_words
+from lanemux.core.peer_report import MAX_DATAGRAM, REPORT_FORMAT, read_reports
 from lanemux.fleet.wire import HEAD, MOST_NEWS, BadMessage, Kind, Message, News, Standing, read
 
 NUMBERS, WIDE = st.integers(0, 2**16 - 1), st.integers(0, 2**32 - 1)
@@ -28,8 +28,8 @@
 @given(MESSAGES)
 def test_a_message_is_read_as_it_was_written_and_an_older_balancer_reads_no_word_in_it(message: Message) -> None:
     data = message.data()
-    assert read(data) == message and len(data) <= MESSAGE
-    assert read_words(data) == []
+    assert read(data) == message and len(data) <= MAX_DATAGRAM
+    assert read_reports(data) == []
 
 
 @settings(derandomize=True, deadline=None, max_examples=30)
@@ -54,7 +54,7 @@
 
 def test_a_word_and_another_version_are_refused() -> None:
     plain = Message(Kind.ASK, 1, 2, Standing.UP, 3, 4).data()
-    for data in (b"\0" * FORM.size, plain[:1] + b"\x02" + plain[2:], b"\0" + plain[1:], plain + b"\0" * 9):
+    for data in (b"\0" * REPORT_FORMAT.size, plain[:1] + b"\x02" + plain[2:], b"\0" + plain[1:], plain + b"\0" * 9):
         with pytest.raises(BadMessage):
             read(data)
 
--- a/tests/rehearsal/broken/blames_upstreams.py
+++ b/tests/rehearsal/broken/blames_upstreams.py
@@ -9,5 +9,5 @@
     return False
 
 
-upstream.may_pass_soon = never  # type: ignore[attr-defined]
+upstream.is_transient_connect_error = never  # type: ignore[attr-defined]
 sys.exit(daemon.main())
--- a/tests/storm/test_module.py
+++ b/tests/storm/test_module.py
@@ -78,7 +78,7 @@
 
 
 def notes(player: Player) -> list[str]:
-    return [a.text for a in player.actions if isinstance(a, api.Note)]
+    return [a.text for a in player.actions if isinstance(a, api.WriteLog)]
 
 
 def test_a_storm_is_noted_when_it_begins_and_when_it_is_over() -> None:
--- a/tests/storm/test_restarts.py
+++ b/tests/storm/test_restarts.py
@@ -41,7 +41,7 @@
     refuse(restarts, SECOND)
     refuse(restarts, SECOND + SPAN_NS - 2)
     assert restarts.met(7, api.Result.OK, SECOND + SPAN_NS - 1) is None
-    for result in (api.Result.RESET, api.Result.TIMEOUT, api.Result.CANCELLED, api.Result.MOOT):
+    for result in (api.Result.RESET, api.Result.TIMEOUT, api.Result.CANCELLED, api.Result.NOT_SENT):
         for n in range(5):
             assert restarts.met(7, result, (4 + n) * SECOND) is None
     assert restarts.met(7, api.Result.OK, 9 * SECOND) is None
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from lanemux.core.cordons import Word
+from lanemux.core.cordons import CordonRecord
 from lanemux.core.system import Machine
 from lanemux.takeover import words
 from lanemux.takeover.pace import SLEEP_S, SLEEPS_S, WORK_S, Pace, begin, end
@@ -26,7 +26,7 @@
 
 
 def test_a_word_is_read_as_it_was_written() -> None:
-    word = Word("s-\u00e9\ud800", True, 12)
+    word = CordonRecord("s-\u00e9\ud800", True, 12)
     assert words.read(words.written(word)) == word
 
 
@@ -52,7 +52,7 @@
 
 
 def test_every_cut_of_a_word_is_refused() -> None:
-    text = words.written(Word("s-5be2a07c", True, 1_700_000_000_000_000_000))
+    text = words.written(CordonRecord("s-5be2a07c", True, 1_700_000_000_000_000_000))
     for size in range(len(text)):
         with pytest.raises(ValueError):
             words.read(text[:size])
@@ -60,15 +60,17 @@
 
 def test_words_go_both_ways_and_a_spoilt_file_costs_only_itself(tmp_path: Path) -> None:
     async def test() -> None:
-        heard: tuple[list[Word], list[Word]] = ([], [])
+        heard: tuple[list[CordonRecord], list[CordonRecord]] = ([], [])
         old, new = (Shared(Machine(), f"{tmp_path}/words", h.append) for h in heard)
         old.open()
-        assert old.tell(Word("a", True, 1))
+        assert old.tell(CordonRecord("a", True, 1))
         (tmp_path / "words" / ("0" * 32 + words.ENDING)).write_bytes(b'{"version": 1, "ho')
         new.open()  # what was said before it began is known at once
-        assert heard[1] == [Word("a", True, 1)]
-        assert new.tell(Word("a", False, 2)) and old.tell(Word("b", True, 3))
-        await until(lambda: heard == ([Word("a", False, 2)], [Word("a", True, 1), Word("b", True, 3)]))
+        assert heard[1] == [CordonRecord("a", True, 1)]
+        assert new.tell(CordonRecord("a", False, 2)) and old.tell(CordonRecord("b", True, 3))
+        await until(
+            lambda: heard == ([CordonRecord("a", False, 2)], [CordonRecord("a", True, 1), CordonRecord("b", True, 3)])
+        )
         old.close()
         new.close()
 
@@ -77,15 +79,15 @@
 
 def test_a_word_kept_in_the_tick_of_the_last_look_is_heard(tmp_path: Path) -> None:
     class Coarse(Machine):
-        def changed_ns(self, folder: str) -> int:
+        def directory_mtime_ns(self, folder: str) -> int:
             return 1  # all within one tick of the file system's clock
 
     async def test() -> None:
-        heard: list[Word] = []
+        heard: list[CordonRecord] = []
         shared, other = Shared(Coarse(), f"{tmp_path}", heard.append), Shared(Machine(), f"{tmp_path}", lambda w: None)
         shared.open()
-        assert other.tell(Word("a", True, 1))
-        await until(lambda: heard == [Word("a", True, 1)])
+        assert other.tell(CordonRecord("a", True, 1))
+        await until(lambda: heard == [CordonRecord("a", True, 1)])
         shared.close()
 
     run(test())
@@ -96,7 +98,7 @@
         (tmp_path / "file").write_bytes(b"")
         shared = Shared(Machine(), f"{tmp_path}/file/words", lambda word: None)
         shared.open()
-        assert not shared.tell(Word("a", True, 1))
+        assert not shared.tell(CordonRecord("a", True, 1))
         shared.close()
 
     run(test())
--- a/tests/test_arrangement.py
+++ b/tests/test_arrangement.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lanemux import interface as api
-from lanemux.core.ring import mixed
+from lanemux.core.ring import hash_id
 from lanemux.policy import DEAR_HOME, GOLDEN, HOME, SHARED, Balancer
 
 ZONES = ("east", "west", "north")
@@ -73,7 +73,7 @@
     """The whole order, how many of it are home, and who shares them: worked out from scratch."""
 
     def scrambled(entries: list[api.Upstream], salt: int) -> list[int]:
-        return [e.id for e in sorted(entries, key=lambda e: (mixed(e.id, salt), e.id))]
+        return [e.id for e in sorted(entries, key=lambda e: (hash_id(e.id, salt), e.id))]
 
     pool = [
         e
@@ -110,8 +110,8 @@
         for cls in told.classes.values():
             pool = fleet.pool(cls)
             order, home, sharers = expected(told, cls, ready, fleet.looks)
-            assert ([s.id for s in pool.all()], pool.home) == (order, home)
-            assert [s.id for s in pool.reach] == order[: home + 1]
+            assert ([s.id for s in pool.all()], pool.subset_size) == (order, home)
+            assert [s.id for s in pool.candidates] == order[: home + 1]
             assert home <= pool.width <= home + 1
             own |= set(order[:home])
             shares |= {i: max(shares[i], sharers) for i in order[:home]}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -46,16 +46,16 @@
 
 
 def test_a_host_has_the_same_number_everywhere() -> None:
-    assert Reader(0).number("s-5be2a07c") == Reader(9).number("s-5be2a07c") == 386416519
+    assert Reader(0).id_of("s-5be2a07c") == Reader(9).id_of("s-5be2a07c") == 386416519
 
 
 def test_hosts_that_collide_get_different_numbers(monkeypatch: pytest.MonkeyPatch) -> None:
     reader = Reader(0)
-    number = reader.number("a")
-    reader._hosts[reader.number("b")] = "b"
+    number = reader.id_of("a")
+    reader._hosts[reader.id_of("b")] = "b"
     reader._ids.pop("b")  # as if another host had b's number
     taken = next(n for n, h in reader._hosts.items() if h == "b")
-    assert reader.number("b") == taken + 1 and reader.number("a") == number
+    assert reader.id_of("b") == taken + 1 and reader.id_of("a") == number
 
 
 def test_entries_become_the_modules() -> None:
@@ -242,14 +242,14 @@
             "fetch": api.FetchList(),
         }
         registry = Registry()
-        script = Script(lambda e: [steps[e.name]] if isinstance(e, api.Wake) else ())
+        script = Script(lambda e: [steps[e.name]] if isinstance(e, api.TimerFired) else ())
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: registry.calls)
-            client.node.feed(api.Wake("off"))
+            client.node.feed(api.TimerFired("off"))
             assert platform(client)._source._pool.hub.open == 0
-            client.node.feed(api.Wake("on"))
+            client.node.feed(api.TimerFired("on"))
             await until(lambda: len(registry.calls) == 2)
-            client.node.feed(api.Wake("fetch"))
+            client.node.feed(api.TimerFired("fetch"))
             await until(lambda: len(script.of(api.ListUpdate)) == 2)
             assert script.of(api.ListUpdate)[1].kind is api.ListKind.FULL and not client.node._hub.pools
             assert registry.calls[2][1] == "/registry/instances"
@@ -340,7 +340,7 @@
                 client.node.upstream_set.move_discovery(address)
             await until(lambda: len(new[1].calls) == 2)
             assert not new[0].calls and platform(client)._successor is None
-            assert hosts(script) == [client.node.upstream_set.membership.number("s8")]
+            assert hosts(script) == [client.node.upstream_set.membership.id_of("s8")]
         for registry in new:
             registry.upstream.stop()
 
--- a/tests/test_mending.py
+++ b/tests/test_mending.py
@@ -18,7 +18,7 @@
 
 from lanemux import interface as api
 from lanemux import policy
-from lanemux.core import words
+from lanemux.core import peer_report
 from lanemux.policy import Balancer
 from tests.bench import MS, SECOND, START
 from tests.fleet import settings
@@ -94,7 +94,7 @@
             waiting = [e for a in actions for e in self._carry_out(a)]
 
     def _tell_the_truth(self) -> list[api.Action]:
-        truth = api.Truth({name: api.Held(c.sends, c.out is not None) for name, c in self.calls.items()})
+        truth = api.Resync({name: api.HeldRequest(c.sends, c.out is not None) for name, c in self.calls.items()})
         return self.balancer.handle(self.now, [truth, api.ListUpdate(api.ListKind.FULL, list(self.listed.values()))])
 
     def _carry_out(self, action: api.Action) -> list[api.Event]:
@@ -151,7 +151,7 @@
             self.now = max(self.now, due[0])
             if due in self.timers:
                 self.timers.remove(due)
-                self.give(api.Wake(due[1]))
+                self.give(api.TimerFired(due[1]))
             else:
                 ended = self.answer(due[1])
                 self.give(*ended, api.ClientGone(due[1]))
@@ -195,7 +195,7 @@
         for _ in range(count):
             self.proxy.arrive(cls, retry)
 
-    @rule(data=st.data(), result=st.sampled_from([r for r in api.Result if r is not api.Result.MOOT]))
+    @rule(data=st.data(), result=st.sampled_from([r for r in api.Result if r is not api.Result.NOT_SENT]))
     def finish(self, data: st.DataObject, result: api.Result) -> None:
         names = [name for name, c in self.proxy.calls.items() if c.out is not None]
         if names:
@@ -223,7 +223,7 @@
         good=st.booleans(),
     )
     def word(self, peer: int, number: int, said: int, held: int, rest: int, good: bool) -> None:
-        data = words.Word(number, said, held, rest * words.REST_STEP_NS, good).data()
+        data = peer_report.PeerReport(number, said, held, rest * peer_report.AVOID_STEP_NS, good).encode()
         self.proxy.give(api.PeerMessage(peer, data))
 
     @rule(ms=st.integers(0, 700))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -233,10 +233,10 @@
 def test_probes_leave_places_for_attempts() -> None:
     async def test() -> None:
         upstream = await Upstream(silent).start()
-        script = Script(lambda e: [api.Probe(script.ids()[0])] * 20 if isinstance(e, api.Wake) else ())
+        script = Script(lambda e: [api.Probe(script.ids()[0])] * 20 if isinstance(e, api.TimerFired) else ())
         async with node(script, upstream) as client:
             client.node._hub.capacity = 16
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerFired("now"))
             assert client.node._hub.open <= 14
             sends_first(script)
             await client.send(request())
@@ -253,7 +253,7 @@
         sent: list[str] = []
 
         def decide(e: api.Event) -> list[api.Action]:
-            if isinstance(e, api.Wake):
+            if isinstance(e, api.TimerFired):
                 return [api.Probe(script.ids()[0])] * 3
             if isinstance(e, api.Arrival) or (isinstance(e, api.Outcome) and len(sent) < 3):
                 sent.append(e.request)
@@ -264,7 +264,7 @@
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: any("/read" in got.first for got in upstream.got))
-            client.node.feed(api.Wake("now"))  # these are coming up
+            client.node.feed(api.TimerFired("now"))  # these are coming up
             client.node.close()
             await client.node._hub.stopped()
             assert len(sent) == 1 and not client.node.held()["probes"] and not client.node._hub.open
@@ -444,11 +444,11 @@
     async def test() -> None:
         upstream = await Upstream(silent).start()
         script = Script()
-        sends_first(script, lambda e: [api.Cancel("1", 0)] if isinstance(e, api.Wake) else fails_unserved(e))
+        sends_first(script, lambda e: [api.Cancel("1", 0)] if isinstance(e, api.TimerFired) else fails_unserved(e))
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerFired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
             assert [o.result for o in script.of(api.Outcome)] == [Result.CANCELLED]
@@ -480,7 +480,7 @@
             if isinstance(event, api.Arrival):
                 to = script.ids()[0]
                 return [api.Send(event.request, to), api.Send(event.request, to)]
-            if isinstance(event, api.Wake):
+            if isinstance(event, api.TimerFired):
                 return [api.Fail("1"), api.Fail("1"), api.Send("1", script.ids()[0])]
             return ()
 
@@ -488,11 +488,11 @@
         async with node(script, upstream) as client:
             await client.send(request())
             await until(lambda: upstream.got)
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerFired("now"))
             assert (await client.read()).status == 504
             await until(lambda: upstream.closed == 1)
             outcomes = {(o.attempt, o.result, o.complete) for o in script.of(api.Outcome)}
-            assert outcomes == {(1, Result.MOOT, False), (0, Result.CANCELLED, True), (0, Result.MOOT, True)}
+            assert outcomes == {(1, Result.NOT_SENT, False), (0, Result.CANCELLED, True), (0, Result.NOT_SENT, True)}
             assert len(upstream.got) == 1 and script.deepest == 1
             assert (await client.ask(b"GET /health/ready HTTP/1.1\r\n\r\n")).status == 200  # one answer only
 
@@ -546,7 +546,7 @@
         async with node(script, upstream) as client:
             assert (await client.ask(request(deadline_ms=150))).status == 503
             assert [o.result for o in script.of(api.Outcome)] == [Result.TIMEOUT]
-            await until(lambda: script.of(api.Wake))
+            await until(lambda: script.of(api.TimerFired))
             assert not script.of(api.ClientGone)
 
     run(test())
@@ -605,9 +605,9 @@
             client.node.upstream_set.listed(listing)
             assert (await client.read()).status == 504
             up.set()
-            assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT]
+            assert [o.result for o in script.of(api.Outcome)] == [Result.NOT_SENT]
             assert (await client.ask(request())).status == 504  # nor does a new one go there
-            assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT] * 2
+            assert [o.result for o in script.of(api.Outcome)] == [Result.NOT_SENT] * 2
             assert not upstream.got
 
     run(test())
@@ -628,7 +628,7 @@
             moved = {"seq": 2, "whole": False, "hosts": known(new.port)["hosts"]}
             client.node.upstream_set.listed(read_listing(moved, client.node.upstream_set.membership, now_ns()))
             assert (await client.read()).status == 504
-            assert [o.result for o in script.of(api.Outcome)] == [Result.MOOT]
+            assert [o.result for o in script.of(api.Outcome)] == [Result.NOT_SENT]
             up.set()
             assert (await client.ask(request())).status == 200
             assert len(new.got) == 1 and not old.got
@@ -755,13 +755,13 @@
             await answers(statuses[i], bodies[i])(upstream.got[-1], writer)
 
         upstream = await Upstream(stats).start()
-        script = Script(lambda e: [api.Probe(script.ids()[0])] if isinstance(e, api.Wake) else ())
+        script = Script(lambda e: [api.Probe(script.ids()[0])] if isinstance(e, api.TimerFired) else ())
         async with node(script, upstream) as client:
             for i in range(4):
-                client.node.feed(api.Wake("now"))
+                client.node.feed(api.TimerFired("now"))
                 await until(partial(heard, script, i + 1))
-            script.react = lambda e: [api.Probe(99)] if isinstance(e, api.Wake) else ()
-            client.node.feed(api.Wake("now"))
+            script.react = lambda e: [api.Probe(99)] if isinstance(e, api.TimerFired) else ()
+            client.node.feed(api.TimerFired("now"))
         assert upstream.got[0].first == "GET /stats HTTP/1.1" and upstream.opened == 1
         results = [(p.result, p.report) for p in script.of(api.ProbeResult)]
         assert results == [
@@ -777,10 +777,10 @@
 
 def test_timers_come_back_by_name() -> None:
     async def test() -> None:
-        script = Script(lambda e: [api.SetTimer(2 * MS, "next")] if e == api.Wake("first") else ())
+        script = Script(lambda e: [api.SetTimer(2 * MS, "next")] if e == api.TimerFired("first") else ())
         async with node(script) as client:
-            client.node.feed(api.Wake("first"))
-            await until(lambda: api.Wake("next") in script.events)
+            client.node.feed(api.TimerFired("first"))
+            await until(lambda: api.TimerFired("next") in script.events)
 
     run(test())
 
@@ -810,13 +810,19 @@
             )
             nodes.append(Node(config, script))
             await nodes[-1].start()
-        more = [api.Tell(b"of nobody's kind", 1)]  # what only a later version reads
+        more = [api.SendToPeer(b"of nobody's kind", 1)]  # what only a later version reads
         scripts[0].react = lambda e: (
-            [api.Tell(b"for one", 1), api.Tell(b"for all"), api.Tell(b"no word", 9), api.Tell(b"x" * 259), *more]
-            if isinstance(e, api.Wake)
+            [
+                api.SendToPeer(b"for one", 1),
+                api.SendToPeer(b"for all"),
+                api.SendToPeer(b"no word", 9),
+                api.SendToPeer(b"x" * 259),
+                *more,
+            ]
+            if isinstance(e, api.TimerFired)
             else ()
         )
-        nodes[0].feed(api.Wake("now"))
+        nodes[0].feed(api.TimerFired("now"))
         await until(lambda: len(scripts[1].of(api.PeerMessage)) == 2)
         assert set(scripts[1].of(api.PeerMessage)) == {api.PeerMessage(0, b"for one"), api.PeerMessage(0, b"for all")}
         for n in nodes:
@@ -859,8 +865,8 @@
                 return [api.Send(event.request, script.ids()[0])]
             if isinstance(event, api.Arrival) and next(faults, False):
                 raise ValueError("a fault in the decisions")
-            if isinstance(event, api.Truth):
-                return [api.Refuse(name) for name, held in event.calls.items() if not held.sends]
+            if isinstance(event, api.Resync):
+                return [api.Refuse(name) for name, held in event.requests.items() if not held.sends]
             return ()
 
         script.react = react
@@ -870,8 +876,8 @@
             await until(lambda: bool(script.of(api.Arrival)))
             for _ in range(2):
                 assert (await client.ask(request("/pay", method="POST"))).status == 503
-            told = script.of(api.Truth)
-            assert len(told) == 2 and told[0].calls == {"1": api.Held(1, True), "2": api.Held(0)}
+            told = script.of(api.Resync)
+            assert len(told) == 2 and told[0].requests == {"1": api.HeldRequest(1, True), "2": api.HeldRequest(0)}
             last = script.of(api.ListUpdate)[-1]
             assert last.kind is api.ListKind.FULL and [u.id for u in last.upstreams] == script.ids()
             assert caplog.text.count("the module failed") == 1  # of faults that follow each other one is told
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -303,7 +303,7 @@
     for me in range(10):
         b = Balancer(settings(me=me, replicas_of_me=10), 1, START)
         b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(100))])
-        homes += [s.id for s in b.fleet.any.reach[: b.fleet.any.home]]
+        homes += [s.id for s in b.fleet.any.candidates[: b.fleet.any.subset_size]]
     assert sorted(homes) == list(range(1, 101))
 
 
@@ -313,7 +313,7 @@
     for proxies in (3, 20, 400):
         b = Balancer(settings(me=1, replicas_of_me=proxies), 1, START)
         b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(30))])
-        sizes[proxies] = b.fleet.any.home
+        sizes[proxies] = b.fleet.any.subset_size
     assert sizes == {3: 10, 20: 9, 400: 4}
 
 
@@ -459,7 +459,7 @@
 def near_home(zone: str, me: int, proxies: int, prices: api.Prices, servers: int = 24) -> list[api.Upstream]:
     b = Balancer(settings(me=me, replicas_of_me=proxies, zone=zone, zones=("east", "west"), prices=prices), 1, START)
     b.handle(START, [api.ListUpdate(api.ListKind.FULL, mixed_fleet(servers))])
-    return [s.entry for s in b.fleet.any.reach[: b.fleet.any.home]]
+    return [s.entry for s in b.fleet.any.candidates[: b.fleet.any.subset_size]]
 
 
 def test_home_is_small_and_near_where_connections_have_a_price() -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -305,12 +305,12 @@
 
 def test_an_id_that_is_open_is_not_taken_again() -> None:
     async def test() -> None:
-        script = Script(lambda e: [api.Fail("1")] if isinstance(e, api.Wake) else ())
+        script = Script(lambda e: [api.Fail("1")] if isinstance(e, api.TimerFired) else ())
         async with node(script) as client:
             await client.send(request(name="one"))
             await until(lambda: client.node._calls)
             assert (await client.another().ask(request(name="one"))).status == 409
-            client.node.feed(api.Wake("now"))
+            client.node.feed(api.TimerFired("now"))
             assert (await client.read()).status == 504  # the open one goes on as if nothing had come
             await client.send(request(name="one"))
             await until(lambda: len(script.of(api.Arrival)) == 2)
@@ -349,8 +349,8 @@
             await until(lambda: len(script.of(api.Arrival)) == 8)
             last = client.another()
             await last.send(READY)  # waits with the system until one has its answer
-            script.react = lambda e: [api.Fail("3")] if isinstance(e, api.Wake) else ()
-            client.node.feed(api.Wake("now"))
+            script.react = lambda e: [api.Fail("3")] if isinstance(e, api.TimerFired) else ()
+            client.node.feed(api.TimerFired("now"))
             assert (await last.read()).status == 200
             for other in (*busy, last):
                 other.close()
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -10,7 +10,7 @@
 
 from lanemux import interface as api
 from lanemux import sharing
-from lanemux.core import words as form
+from lanemux.core import peer_report as form
 from lanemux.policy import Balancer
 from tests.bench import MS, SECOND, START
 from tests.fleet import Box, Clients, Fleet, settings
@@ -20,15 +20,15 @@
     return api.ListUpdate(api.ListKind.FULL, [api.Upstream(n) for n in range(1, count + 1)])
 
 
-def tells(actions: list[api.Action]) -> list[api.Tell]:
-    return [a for a in actions if isinstance(a, api.Tell)]
+def tells(actions: list[api.Action]) -> list[api.SendToPeer]:
+    return [a for a in actions if isinstance(a, api.SendToPeer)]
 
 
 def test_a_word_comes_back_as_it_was_said() -> None:
-    word = form.Word(4_294_967_295, 7, 3, 2 * SECOND, good=True)
-    assert form.read_words(word.data()) == [word]
-    (longest,) = form.read_words(form.Word(1, 300, 999, 60 * SECOND).data())
-    assert (longest.number, longest.held, longest.rest_ns) == (44, 127, 255 * form.REST_STEP_NS)
+    word = form.PeerReport(4_294_967_295, 7, 3, 2 * SECOND, last_ok=True)
+    assert form.read_reports(word.encode()) == [word]
+    (longest,) = form.read_reports(form.PeerReport(1, 300, 999, 60 * SECOND).encode())
+    assert (longest.sequence, longest.in_flight, longest.avoid_ns) == (44, 127, 255 * form.AVOID_STEP_NS)
 
 
 @pytest.mark.parametrize("data", [b"", b"x", b"\x00" * 6, b"\xff" * 8, b"\x00" * 256])
@@ -48,32 +48,32 @@
     for place in range(upstreams):
         holders = {p for p in range(proxies) if place in homes[p]}
         for me in range(proxies):
-            told = sharing.sharers(place, upstreams, home, proxies, me)
+            told = sharing.peers_sharing(place, upstreams, home, proxies, me)
             assert me not in told
-            if len(holders) <= sharing.MOST_TOLD:
+            if len(holders) <= sharing.MAX_RECIPIENTS:
                 assert sorted(told) == sorted(holders - {me})
-            assert len(told) <= sharing.MOST_TOLD
+            assert len(told) <= sharing.MAX_RECIPIENTS
 
 
 def test_a_word_that_a_later_one_has_overtaken_says_nothing() -> None:
-    here = sharing.Elsewhere(kept_ns=200 * MS)
-    assert here.hear(5, form.Word(1, 255, 2), START)
-    assert here.hear(5, form.Word(1, 256, 0), START + MS)
-    assert not here.hear(5, form.Word(1, 255, 2), START + 2 * MS)
-    assert here.held(START + 3 * MS) == 0
-    assert here.hear(6, form.Word(1, 1, 1), START + 3 * MS)
-    assert here.held(START + 4 * MS) == 1
-    assert here.held(START + 203 * MS) == 0  # its end was lost
-    assert here.hear(5, form.Word(1, 90, 1), START + 400 * MS)  # a peer that has begun anew
+    here = sharing.PeerLoad(expiry_ns=200 * MS)
+    assert here.update(5, form.PeerReport(1, 255, 2), START)
+    assert here.update(5, form.PeerReport(1, 256, 0), START + MS)
+    assert not here.update(5, form.PeerReport(1, 255, 2), START + 2 * MS)
+    assert here.in_flight(START + 3 * MS) == 0
+    assert here.update(6, form.PeerReport(1, 1, 1), START + 3 * MS)
+    assert here.in_flight(START + 4 * MS) == 1
+    assert here.in_flight(START + 203 * MS) == 0  # its end was lost
+    assert here.update(5, form.PeerReport(1, 90, 1), START + 400 * MS)  # a peer that has begun anew
 
 
 def test_words_of_any_number_of_senders_take_bounded_room() -> None:
-    here = sharing.Elsewhere(kept_ns=200 * MS)
+    here = sharing.PeerLoad(expiry_ns=200 * MS)
     for peer in range(10_000):
-        here.hear(peer, form.Word(1, 1, 1), START)
-    assert len(here.told) <= 2 * sharing.MOST_TOLD
-    assert here.hear(10_001, form.Word(1, 1, 1), START + 200 * MS)
-    assert here.held(START + 200 * MS) == 1
+        here.update(peer, form.PeerReport(1, 1, 1), START)
+    assert len(here.reports) <= 2 * sharing.MAX_RECIPIENTS
+    assert here.update(10_001, form.PeerReport(1, 1, 1), START + 200 * MS)
+    assert here.in_flight(START + 200 * MS) == 1
 
 
 @pytest.mark.parametrize(
@@ -94,10 +94,10 @@
     """An upstream that only a peer has named is none; one that a peer leaves alone is left alone here too."""
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.reach[: balancer.fleet.any.home]
+    home = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
     shunned = home[:5]
-    words = [form.Word(s.id, 1, 0, SECOND) for s in shunned] + [form.Word(999, 1, 0, SECOND)]
-    balancer.handle(START + MS, [api.PeerMessage(1, w.data()) for w in words])
+    words = [form.PeerReport(s.id, 1, 0, SECOND) for s in shunned] + [form.PeerReport(999, 1, 0, SECOND)]
+    balancer.handle(START + MS, [api.PeerMessage(1, w.encode()) for w in words])
     assert 999 not in balancer.fleet.servers
     sent = set()
     for i in range(5):
@@ -110,40 +110,42 @@
 def test_peers_cannot_talk_a_balancer_out_of_most_of_its_home() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    words = [form.Word(s.id, 1, 0, 3 * SECOND) for s in balancer.fleet.servers.values()]
-    balancer.handle(START + MS, [api.PeerMessage(1, w.data()) for w in words])
+    words = [form.PeerReport(s.id, 1, 0, 3 * SECOND) for s in balancer.fleet.servers.values()]
+    balancer.handle(START + MS, [api.PeerMessage(1, w.encode()) for w in words])
     pool = balancer.fleet.any
-    assert sum(balancer.fleet.fit(s, START + 2 * MS) for s in pool.reach) >= 0.2 * pool.width
+    assert sum(balancer.fleet.fit(s, START + 2 * MS) for s in pool.candidates) >= 0.2 * pool.width
 
 
 def test_the_load_of_others_is_seen_and_a_struck_upstream_is_tried_by_one() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.reach[: balancer.fleet.any.home]
+    home = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
     idle = home[3]
-    balancer.handle(START + MS, [api.PeerMessage(2, form.Word(s.id, 1, 2).data()) for s in home if s is not idle])
+    balancer.handle(
+        START + MS, [api.PeerMessage(2, form.PeerReport(s.id, 1, 2).encode()) for s in home if s is not idle]
+    )
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
     assert [a.upstream for a in actions if isinstance(a, api.Send)] == [idle.id]
     assert {a.peer for a in tells(actions)} == set(balancer.fleet.place(idle).peers)
     struck = home[0]
-    balancer.handle(START + 3 * MS, [api.PeerMessage(2, form.Word(struck.id, 2, 0, 50 * MS).data())])
+    balancer.handle(START + 3 * MS, [api.PeerMessage(2, form.PeerReport(struck.id, 2, 0, 50 * MS).encode())])
     now = START + 60 * MS
     assert balancer.fleet.fit(struck, now)
-    balancer.handle(now, [api.PeerMessage(7, form.Word(struck.id, 1, 1).data())])
+    balancer.handle(now, [api.PeerMessage(7, form.PeerReport(struck.id, 1, 1).encode())])
     assert not balancer.fleet.fit(struck, now + MS)
 
 
 def test_what_one_finds_sound_again_all_use_again_and_failures_of_all_add_up() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    struck, now = balancer.fleet.any.reach[2], START
+    struck, now = balancer.fleet.any.candidates[2], START
     for number in range(1, 4):  # three rests, told one after the other by different peers
-        balancer.handle(now, [api.PeerMessage(number, form.Word(struck.id, 1, 0, 100 * MS).data())])
+        balancer.handle(now, [api.PeerMessage(number, form.PeerReport(struck.id, 1, 0, 100 * MS).encode())])
         now += 150 * MS
     assert struck.strikes == 3
-    balancer.handle(now, [api.PeerMessage(9, form.Word(struck.id, 1, 0, 2 * SECOND).data())])
+    balancer.handle(now, [api.PeerMessage(9, form.PeerReport(struck.id, 1, 0, 2 * SECOND).encode())])
     assert not balancer.fleet.fit(struck, now + MS)
-    balancer.handle(now + 2 * MS, [api.PeerMessage(1, form.Word(struck.id, 2, 0, good=True).data())])
+    balancer.handle(now + 2 * MS, [api.PeerMessage(1, form.PeerReport(struck.id, 2, 0, last_ok=True).encode())])
     assert balancer.fleet.fit(struck, now + 3 * MS)
     assert not struck.strikes
 
@@ -151,9 +153,9 @@
 def test_a_request_with_too_little_time_left_is_refused_at_once_not_sent() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.reach[: balancer.fleet.any.home]
-    words = [form.Word(s.id, 1, 30) for s in home]
-    balancer.handle(START + MS, [api.PeerMessage(peer, w.data()) for w in words for peer in (1, 2)])
+    home = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
+    words = [form.PeerReport(s.id, 1, 30) for s in home]
+    balancer.handle(START + MS, [api.PeerMessage(peer, w.encode()) for w in words for peer in (1, 2)])
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
     assert [type(a) for a in actions if not isinstance(a, api.SetTimer)] == [api.Refuse]
 
@@ -222,10 +224,14 @@
         nonlocal now
         for old in range(first, first + count):
             now += 20 * MS
-            words = [form.Word(old, now // MS, 1, 100 * MS).data(), form.Word(old + 1, now // MS, 0).data()]
+            words = [
+                form.PeerReport(old, now // MS, 1, 100 * MS).encode(),
+                form.PeerReport(old + 1, now // MS, 0).encode(),
+            ]
             events = [api.PeerMessage(peer, word) for peer in (1, 2) for word in words]
             actions = balancer.handle(
-                now, [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.Wake(str(balancer.timer))]
+                now,
+                [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.TimerFired(str(balancer.timer))],
             )
             for send in [a for a in actions if isinstance(a, api.Send)]:
                 result = (api.Result.OK, api.Result.CONNECT_FAILED)[old % 2]
@@ -234,7 +240,7 @@
             balancer.handle(now + 2 * MS, [api.ListUpdate(api.ListKind.DELTA, change)])
             balancer.handle(now + 3 * MS, [api.PeerMessage(3, word) for word in words[:1]])
         now += 20 * SECOND
-        balancer.handle(now, [api.Wake(str(balancer.timer))])
+        balancer.handle(now, [api.TimerFired(str(balancer.timer))])
         gc.collect()
         return Counter(type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("lanemux"))
 
@@ -247,10 +253,10 @@
     ("claims", "held"), [([], 0), ([0, 0], 0), ([127], 1), ([2, 1], 3), ([127, 1, 0], 3), ([5, 5, 5], 15)]
 )
 def test_what_one_peer_claims_alone_is_believed_as_far_as_others_show_it(claims: list[int], held: int) -> None:
-    here = sharing.Elsewhere(kept_ns=200 * MS)
+    here = sharing.PeerLoad(expiry_ns=200 * MS)
     for peer, claim in enumerate(claims):
-        here.hear(peer, form.Word(1, 1, claim), START)
-    assert here.held(START) == held
+        here.update(peer, form.PeerReport(1, 1, claim), START)
+    assert here.in_flight(START) == held
 
 
 def neighbours(fleet: Fleet) -> float:
@@ -276,20 +282,20 @@
 
 
 def test_a_balancer_that_began_anew_is_believed_once_its_old_words_are_forgotten() -> None:
-    here = sharing.Elsewhere(kept_ns=200 * MS)
+    here = sharing.PeerLoad(expiry_ns=200 * MS)
     for peer in (1, 2):
-        assert here.hear(peer, form.Word(1, 200, 2), START)
-    assert not here.hear(1, form.Word(1, 100, 0), START + 100 * MS)  # may be an overtaken one
-    assert here.hear(1, form.Word(1, 101, 0), START + 201 * MS)
-    assert here.held(START + 201 * MS) == 0
+        assert here.update(peer, form.PeerReport(1, 200, 2), START)
+    assert not here.update(1, form.PeerReport(1, 100, 0), START + 100 * MS)  # may be an overtaken one
+    assert here.update(1, form.PeerReport(1, 101, 0), START + 201 * MS)
+    assert here.in_flight(START + 201 * MS) == 0
 
 
 def test_words_for_one_peer_go_together_and_none_is_lost() -> None:
-    said = {3: [form.Word(n, 1, 1).data() for n in range(80)], 5: [form.Word(7, 2, 0).data()]}
+    said = {3: [form.PeerReport(n, 1, 1).encode() for n in range(80)], 5: [form.PeerReport(7, 2, 0).encode()]}
     sent = list(form.datagrams(said))
     assert [peer for peer, _ in sent] == [3, 3, 3, 5]
-    assert all(len(data) <= form.MESSAGE for _, data in sent)
-    assert [w.upstream for peer, data in sent if peer == 3 for w in form.read_words(data)] == list(range(80))
+    assert all(len(data) <= form.MAX_DATAGRAM for _, data in sent)
+    assert [w.upstream for peer, data in sent if peer == 3 for w in form.read_reports(data)] == list(range(80))
 
 
 def test_a_batch_tells_each_peer_in_one_message() -> None:
@@ -298,7 +304,7 @@
     actions = balancer.handle(START + MS, [api.Arrival(f"a{i}", "quote", "ash", START + 400 * MS) for i in range(8)])
     told = tells(actions)
     assert len({a.peer for a in told}) == len(told)
-    assert sum(len(form.read_words(a.data)) for a in told) > 2 * len(told)
+    assert sum(len(form.read_reports(a.data)) for a in told) > 2 * len(told)
 
 
 def test_a_fleet_that_is_short_serves_fresh_work_before_second_tries() -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -86,7 +86,7 @@
                 assert whole and body == LONG
             assert client.node.tally.succeeded["read"] == 2 and client.node.held()["calls"] == 0
             assert client.node._hub.passing == 0
-        assert [e.attempt for e in script.of(api.AnswerBegun)] == [0, 0]
+        assert [e.attempt for e in script.of(api.ResponseStarted)] == [0, 0]
         assert [(e.result, e.complete) for e in script.of(api.Outcome)] == [(Result.OK, True)] * 2
 
     run(test())
@@ -251,7 +251,7 @@
 
     assert arrives("a")
     assert not arrives("b")  # one at a time is all that is known to help
-    sent = module.handle(now + 1000, [api.AnswerBegun("a", 0, 7, 1000)])
+    sent = module.handle(now + 1000, [api.ResponseStarted("a", 0, 7, 1000)])
     assert [a.request for a in sent if isinstance(a, api.Send)] == ["b"]
     server = module.fleet.servers[7]
     assert server.inflight == 1
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lanemux.core.line import Line
-from lanemux.core.ring import Ring, mixed
-from lanemux.core.timers import SETTLED_KEPT, Timer, Timers
+from lanemux.core.removable_queue import RemovableQueue
+from lanemux.core.ring import Ring, hash_id
+from lanemux.core.timers import MAX_CANCELLED_KEPT, Timer, Timers
 
 
 @dataclass(frozen=True)
@@ -25,17 +25,17 @@
         one, inside = One(rng.randrange(60)), rng.random() < 0.6
         assert ring.put(one, inside) == ((one.id in members) is not inside)
         (members.add if inside else members.discard)(one.id)
-        order = sorted(members, key=lambda n: (mixed(n, seed), n))
+        order = sorted(members, key=lambda n: (hash_id(n, seed), n))
         assert [m.id for m in ring.members] == order
         assert ring.find(one) == (
-            sorted([*order, one.id] if not inside else order, key=lambda n: (mixed(n, seed), n)).index(one.id),
+            sorted([*order, one.id] if not inside else order, key=lambda n: (hash_id(n, seed), n)).index(one.id),
             inside,
         )
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_line_is_a_deque(seed: int) -> None:
-    rng, line, plain = random.Random(seed), Line[int](), deque[int]()
+    rng, line, plain = random.Random(seed), RemovableQueue[int](), deque[int]()
     for n in range(500):
         what = rng.randrange(5)
         if what < 2:
@@ -67,23 +67,23 @@
         elif what < 0.9 and plain:
             settled = rng.choice(plain)
             plain.remove(settled)
-            timers.settle(known[settled[1]])
-            timers.settle(known[settled[1]])  # a second time, and after it has rung, does nothing
+            timers.cancel(known[settled[1]])
+            timers.cancel(known[settled[1]])  # a second time, and after it has rung, does nothing
         else:
             now += rng.randrange(20)
             due = sorted(e for e in plain if e[0] <= now)
             plain = [e for e in plain if e[0] > now]
-            assert list(timers.ring(now)) == [number for _, number in due]
+            assert list(timers.pop_due(now)) == [number for _, number in due]
         assert len(timers) == len(plain)
         assert timers.next_ns() == min((at for at, _ in plain), default=None)
-        assert timers.kept <= max(2 * len(plain) + 1, 2 * SETTLED_KEPT)
+        assert timers.heap_size <= max(2 * len(plain) + 1, 2 * MAX_CANCELLED_KEPT)
 
 
 def test_what_is_set_while_timers_ring_and_due_already_rings_too() -> None:
     timers = Timers[str]()
     timers.set(1, "a")
     rung = []
-    for item in timers.ring(5):
+    for item in timers.pop_due(5):
         rung.append(item)
         if item == "a":
             timers.set(3, "b")
@@ -94,5 +94,5 @@
 def test_a_hundred_thousand_settled_timers_leave_no_room_behind() -> None:
     timers = Timers[int]()
     for n in range(100_000):
-        timers.settle(timers.set(10**12 + n, n))
-    assert timers.kept <= SETTLED_KEPT + 2
+        timers.cancel(timers.set(10**12 + n, n))
+    assert timers.heap_size <= MAX_CANCELLED_KEPT + 2
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -146,7 +146,7 @@
                 outcome = api.Outcome("r1", 0, action.upstream, api.Result.TIMEOUT, 1)
                 due.append((now + action.timeout_ns, outcome))
             elif isinstance(action, api.SetTimer):
-                due.append((now + action.delay_ns, api.Wake(action.name)))
+                due.append((now + action.delay_ns, api.TimerFired(action.name)))
         if isinstance(event, api.Outcome):
             return sum(balancer.rate.bad.values())
     raise AssertionError("never ended")
--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -84,7 +84,7 @@
         "moot-untold",
         "past mend: a Send that can't be carried out has its Outcome",
         NODE,
-        "            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.MOOT, 0, call is None))\n",
+        "            self.feed(api.Outcome(action.request, number, action.upstream, api.Result.NOT_SENT, 0, call is None))\n",
         "",
     ),
     _one(
@@ -133,8 +133,8 @@
         "reset-never-ran",
         "a reset attempt is repeated whatever it may have done",
         "interface.py",
-        "Result.CONNECT_FAILED, Result.MOOT})",
-        "Result.CONNECT_FAILED, Result.MOOT, Result.RESET})",
+        "Result.CONNECT_FAILED, Result.NOT_SENT})",
+        "Result.CONNECT_FAILED, Result.NOT_SENT, Result.RESET})",
     ),
     _one(
         "silent-discovery",
