--- a/lanemux/drill.py
+++ b/lanemux/drill.py
@@ -1,9 +1,9 @@
-"""The adapter: hosts many balancers on the simulator's wire. It translates and decides nothing.
+"""Adapter that hosts many balancers behind the simulator's protocol. It translates messages and decides nothing.
 
     python -m lanemux.drill < batches > replies
 
-One JSON object a line each way. A line that is not a batch ends the process with a message on standard
-error and exit status 2; an exception inside a balancer is reported as that balancer's `fault`.
+Each line of input and output is one JSON object. An invalid batch ends the process with a message on standard error
+and exit status 2; an exception inside a balancer is reported as a `fault` of that balancer.
 """
 
 from __future__ import annotations
@@ -35,15 +35,16 @@
 
 
 class Malformed(Exception):
-    """The input is not what the wire allows."""
+    """The input violates the protocol."""
 
 
-def _pick(known: Json, names: Mapping[str, str]) -> Json:
-    """The known settings among those sent, under the interface's names; the rest keep their defaults."""
-    return {ours: known[theirs] for theirs, ours in names.items() if known.get(theirs) is not None}
+def _pick(raw: Json, names: Mapping[str, str]) -> Json:
+    """The settings present in `raw`, renamed from protocol to interface names; absent ones keep their defaults."""
+    return {ours: raw[theirs] for theirs, ours in names.items() if raw.get(theirs) is not None}
 
 
 def read_settings(raw: Json) -> api.Settings:
+    """Convert the protocol's settings object; unknown keys are ignored."""
     classes = {}
     for row in raw.get("profiles") or ():
         given = _pick(
@@ -133,6 +134,7 @@
 
 
 def read_upstream(row: Json) -> api.Upstream:
+    """Convert one row of an upstream list."""
     return api.Upstream(
         row["upstream"],
         STATES[row.get("availability", 1)],
@@ -144,26 +146,26 @@
     )
 
 
-def _is_whole(value: object) -> TypeGuard[int]:
+def _is_integer(value: object) -> TypeGuard[int]:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _whole(e: Json, name: str) -> int:
-    value = e[name]
-    if not _is_whole(value):
+def _integer(event: Json, name: str) -> int:
+    value = event[name]
+    if not _is_integer(value):
         raise TypeError(f"{name} is no whole number")
     return value
 
 
-def _text(e: Json, name: str) -> str:
-    if not isinstance(e[name], str):
+def _string(event: Json, name: str) -> str:
+    if not isinstance(event[name], str):
         raise TypeError(f"{name} is no text")
-    return str(e[name])
+    return str(event[name])
 
 
-def _metrics(e: Json) -> dict[str, float] | None:
-    """The load report, if there is one: an object of numbers."""
-    report = e.get("metrics")
+def _metrics(event: Json) -> dict[str, float] | None:
+    """The load report, if there is one: a mapping from column names to numbers."""
+    report = event.get("metrics")
     if report is None:
         return None
     if not isinstance(report, dict) or not all(isinstance(v, int | float) for v in report.values()):
@@ -171,44 +173,44 @@
     return report
 
 
-def _arrival(e: Json) -> api.Event:
+def _arrival(event: Json) -> api.Event:
     return api.Arrival(
-        _text(e, "ticket"),
-        _text(e, "kind"),
-        str(e.get("user_group") or ""),
-        _whole(e, "deadline_ns"),
-        e.get("cost_guess_ns") or 0,
-        e.get("entity") or "",
-        bool(e.get("resent")),
+        _string(event, "ticket"),
+        _string(event, "kind"),
+        str(event.get("user_group") or ""),
+        _integer(event, "deadline_ns"),
+        event.get("cost_guess_ns") or 0,
+        event.get("entity") or "",
+        bool(event.get("resent")),
     )
 
 
-def _outcome(e: Json) -> api.Event:
+def _outcome(event: Json) -> api.Event:
     return api.Outcome(
-        _text(e, "ticket"),
-        _whole(e, "attempt"),
-        _whole(e, "upstream"),
-        RESULTS[e["result"]],
-        e.get("took_ns") or 0,
-        bool(e.get("complete")),
-        _metrics(e),
+        _string(event, "ticket"),
+        _integer(event, "attempt"),
+        _integer(event, "upstream"),
+        RESULTS[event["result"]],
+        event.get("took_ns") or 0,
+        bool(event.get("complete")),
+        _metrics(event),
     )
 
 
-READ: dict[str, Callable[[Json], api.Event]] = {
+EVENT_READERS: dict[str, Callable[[Json], api.Event]] = {
     "submit": _arrival,
     "returned": _outcome,
-    "timer": lambda e: api.TimerFired(_text(e, "name")),
-    "dropped": lambda e: api.ClientGone(_text(e, "ticket")),
+    "timer": lambda e: api.TimerFired(_string(e, "name")),
+    "dropped": lambda e: api.ClientGone(_string(e, "ticket")),
     "accepted": lambda e: api.ResponseStarted(
-        _text(e, "ticket"), _whole(e, "attempt"), _whole(e, "upstream"), e.get("took_ns") or 0
+        _string(e, "ticket"), _integer(e, "attempt"), _integer(e, "upstream"), e.get("took_ns") or 0
     ),
     "probe_result": lambda e: api.ProbeResult(
-        _whole(e, "upstream"), RESULTS[e["result"]], e.get("took_ns") or 0, _metrics(e)
+        _integer(e, "upstream"), RESULTS[e["result"]], e.get("took_ns") or 0, _metrics(e)
     ),
-    "message": lambda e: api.PeerMessage(_whole(e, "origin_peer"), base64.b64decode(e["blob"], validate=True)),
+    "message": lambda e: api.PeerMessage(_integer(e, "origin_peer"), base64.b64decode(e["blob"], validate=True)),
 }
-WRITE: dict[type, Callable[[Any], Json]] = {
+ACTION_WRITERS: dict[type, Callable[[Any], Json]] = {
     api.Send: lambda a: {"t": "submit_to", "ticket": a.request, "upstream": a.upstream, "timeout_ns": a.timeout_ns},
     api.Refuse: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
     api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
@@ -224,13 +226,14 @@
 
 
 class Host:
-    """The balancers of one process, and the numbered upstream lists that they share on the wire."""
+    """The balancers of one process and the numbered upstream lists that protocol messages refer to."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, Sequence[api.Upstream]] = {}
 
     def batch(self, line: str) -> str:
+        """Process one batch and return the reply; Malformed if it is invalid."""
         try:
             batch = json.loads(line)
         except ValueError as error:
@@ -238,34 +241,34 @@
         if not isinstance(batch, dict):
             raise Malformed("a batch must be an object")
         now, number, happened = (batch.get(k) for k in ("sim_time_ns", "round", "happened"))
-        if not _is_whole(now):
+        if not _is_integer(now):
             raise Malformed("batch without a whole-number sim_time_ns")
-        if not _is_whole(number):
+        if not _is_integer(number):
             raise Malformed("batch without a whole-number round")
         if not isinstance(happened, list):
             raise Malformed("batch without the array happened")
-        # A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
-        waiting: dict[int, list[api.Event]] = {}
+        # Each balancer gets all its events of a batch in one call, so that it decides with all of them known.
+        pending: dict[int, list[api.Event]] = {}
         commands: list[Json] = []
         for event in happened:
             try:
-                self._take(event, now, waiting, commands)
+                self._read_event(event, now, pending, commands)
             except Malformed:
                 raise
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 raise Malformed(f"event {json.dumps(event)[:200]}: {type(error).__name__} {error}") from None
-        for number_of, events in waiting.items():
-            self._run(number_of, now, events, commands)
+        for balancer_number, events in pending.items():
+            self._run_balancer(balancer_number, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
 
-    def _take(self, event: Json, now: int, waiting: dict[int, list[api.Event]], commands: list[Json]) -> None:
+    def _read_event(self, event: Json, now: int, pending: dict[int, list[api.Event]], commands: list[Json]) -> None:
         kind = event["t"]
         if kind == "directory":
             self.lists[event["buffer"]] = [read_upstream(row) for row in event["rows_in"]]
             return
         number = event["balancer"]
         if kind == "new_instance":
-            waiting.pop(number, None)
+            pending.pop(number, None)
             settings = read_settings(event["settings"])
             try:
                 self.balancers[number] = Balancer(settings, event["seed"], now)
@@ -274,23 +277,23 @@
             return
         if kind == "power_off":
             self.balancers.pop(number, None)
-            waiting.pop(number, None)
+            pending.pop(number, None)
             return
         if number not in self.balancers:
             raise Malformed(f"event {kind} for balancer {number}, which was not started")
         if kind == "membership":
             form = LISTS[event["form"]]
             rows = () if form is api.ListKind.FAILED else self.lists[event["buffer"]]
-            waiting.setdefault(number, []).append(api.ListUpdate(form, rows))
-        elif kind in READ:
-            waiting.setdefault(number, []).append(READ[kind](event))
+            pending.setdefault(number, []).append(api.ListUpdate(form, rows))
+        elif kind in EVENT_READERS:
+            pending.setdefault(number, []).append(EVENT_READERS[kind](event))
         else:
             raise Malformed(f"unknown event {kind!r}")
 
-    def _run(self, number: int, now: int, events: list[api.Event], commands: list[Json]) -> None:
+    def _run_balancer(self, number: int, now: int, events: list[api.Event], commands: list[Json]) -> None:
         try:
             for action in self.balancers[number].handle(now, events):
-                command = WRITE[type(action)](action)
+                command = ACTION_WRITERS[type(action)](action)
                 command["balancer"] = number
                 commands.append(command)
         except Exception as error:
@@ -298,15 +301,16 @@
 
 
 def _fault(number: int, error: Exception) -> Json:
-    """A failure of the decision code, told to the simulator with the place where it happened."""
-    place = error.__traceback__
-    while place is not None and place.tb_next is not None:
-        place = place.tb_next
-    where = f" at {place.tb_frame.f_code.co_name}:{place.tb_lineno}" if place is not None else ""
+    """A `fault` command for an exception in the decision module, with the function and line where it was raised."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    where = f" at {traceback.tb_frame.f_code.co_name}:{traceback.tb_lineno}" if traceback is not None else ""
     return {"t": "fault", "balancer": number, "message": f"{type(error).__name__}: {error}{where}"}
 
 
 def main() -> int:
+    """Process batches from standard input until it ends; returns the exit status."""
     host = Host()
     for count, line in enumerate(sys.stdin, 1):
         try:
--- a/lanemux/interface.py
+++ b/lanemux/interface.py
@@ -1,7 +1,8 @@
-"""The interface of the decision module: its settings, the events it takes, the actions it gives.
+"""The interface of the decision module: its settings, its input events and its output actions.
 
-One `Balancer` (see `policy.py`) is one proxy. It is handed the clock and a seed; it opens no socket, reads
-no clock and keeps no thread. All times are whole nanoseconds on the caller's clock. Nothing here decides.
+One `Balancer` (see `policy.py`) is one proxy. The caller passes in the time and a random seed; the module opens no
+socket, reads no clock and starts no thread. All times are integer nanoseconds on the caller's clock. This module
+holds data types only and no logic.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 
 class Effect(Enum):
-    """What repeating a request of a class may do."""
+    """Whether a request of a class may be executed more than once."""
 
-    SAFE = "safe"  # may be repeated and refused freely
-    KEYED = "keyed"  # carries a key: one group of upstreams drops its repeats for a while
-    UNSAFE = "unsafe"  # must never run twice
+    SAFE = "safe"  # idempotent: may be retried and refused freely
+    KEYED = "keyed"  # has an idempotency key: upstreams within a `Scope` drop duplicates for a time window
+    UNSAFE = "unsafe"  # must never be executed twice
 
 
 class Scope(Enum):
-    """Which upstreams drop the repeats of a keyed request."""
+    """The group of upstreams that share the deduplication of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +30,7 @@
 
 
 class State(Enum):
-    """What discovery says of an upstream."""
+    """State of an upstream as reported by discovery."""
 
     GONE = 0
     READY = 1
@@ -37,34 +38,34 @@
 
 
 class Weights(Enum):
-    """What the weight of a list entry says."""
+    """Meaning of the weight in an upstream list entry."""
 
     NONE = "none"  # always 1
-    NOMINAL = "nominal"  # its registered size
-    ROUGH = "rough"  # its size, about
-    LIVE = "live"  # its size over 1 + the requests it held a core a while ago
+    NOMINAL = "nominal"  # registered size
+    ROUGH = "rough"  # approximate size
+    LIVE = "live"  # size / (1 + requests in flight per core), as of some time ago
 
 
 class ListKind(Enum):
-    """What a list event carries."""
+    """Content of a list update."""
 
     DELTA = 0  # only changed entries
     FULL = 1  # the whole list
-    CACHED = 2  # the whole list as last known before a restart, maybe old
-    FAILED = 3  # a call failed or the subscription broke; no entries
+    CACHED = 2  # the whole list as known before a restart; may be stale
+    FAILED = 3  # a fetch failed or the subscription ended; no entries
 
 
 class Result(Enum):
-    """How an attempt ended."""
+    """Outcome of an attempt. "May have run" means that the upstream may have executed the request."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen; never ran
+    ERROR = "error"  # error response; may have run
+    FULL = "full"  # rejected by an overloaded upstream before processing; never ran
     TIMEOUT = "timeout"  # may have run, may still run
     CONNECT_FAILED = "connect_failed"  # never ran
-    RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # called off; may have run
-    NOT_SENT = "moot"  # not sent at all; never ran
+    RESET = "reset"  # connection reset; may have run
+    CANCELLED = "cancelled"  # cancelled by the proxy; may have run
+    NOT_SENT = "moot"  # the attempt was not sent; never ran
 
 
 NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT})
@@ -72,29 +73,35 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Properties shared by all requests of one class."""
+
     name: str
     effect: Effect = Effect.SAFE
     scope: Scope = Scope.ALL
-    window_ns: int = 0  # keyed: how long repeats are dropped, from the first send that may have run
-    aim_ns: int = 1_000_000_000  # an answer within this earns the full worth
+    window_ns: int = 0  # keyed: how long duplicates are dropped, from the first send that may have run
+    aim_ns: int = 1_000_000_000  # latency target: a response within it has the full worth
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth for an answer after the aim
+    late_worth: float = 0.0  # fraction of the worth for a response after the target
     stream: bool = False
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    limit_ns: int = 0  # the client's whole wait over all its tries; 0: not told
-    zones: frozenset[str] | None = None  # placement: the sole zones it may be sent to; None: any
-    kinds: frozenset[str] | None = None  # and the sole kinds of machine
+    aim_stretch: float = 0.0  # the latency target grows by this multiple of the request's processing cost
+    limit_ns: int = 0  # how long the client waits in total, over all its own retries; 0: unknown
+    zones: frozenset[str] | None = None  # placement: the only zones it may be sent to; None: any
+    kinds: frozenset[str] | None = None  # placement: the only machine kinds; None: any
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its entitlement."""
+
     name: str
     share: float = 1.0
-    quota_per_s: float = 0.0  # over all proxies; 0: not told
+    quota_per_s: float = 0.0  # over all proxies; 0: none configured
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What a proxy is permitted to do, and its resource limits."""
+
     max_attempts: int = 1
     second_copies: bool = False
     may_cancel: bool = False
@@ -103,27 +110,31 @@
     retry_after: bool = False
     max_retry_after_ns: int = 1_000_000_000
     connect_timeout_ns: int = 250_000_000
-    conn_idle_ns: int = 0  # idle connections are closed after this; 0: not told
-    max_streams: int = 1  # attempts that one connection carries at once
-    max_open: int = 0  # requests a proxy may hold open; 0: not told
-    cpu_us_per_s: int = 0  # CPU a proxy may use; 0: no limit told
+    conn_idle_ns: int = 0  # idle timeout of connections; 0: unknown
+    max_streams: int = 1  # concurrent attempts per connection
+    max_open: int = 0  # concurrent requests per proxy; 0: unknown
+    cpu_us_per_s: int = 0  # CPU time per second that a proxy may use; 0: no limit known
     cpu_us_per_request: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    stop_sending_within_ns: int = 1_000_000_000  # sends to a draining upstream must end within this
-    ask_within_ns: int = 10_000_000_000  # without news for this long, a proxy counts as told
-    cold_from: float = 0.3  # a started upstream begins at this share of its capacity
-    cold_ns: int = 0  # and is warm after this
-    fall_multiple: float = 3.0  # sent more than this many times what it can do
-    overload_for_ns: int = 2_000_000_000  # for this long, it falls over
-    full_unproven: bool = False  # turned away as full is no proof that it never ran
-    answer_grace_ns: int = 0  # a final answer this long after the deadline still counts
+    """Rules of the environment that a proxy is judged by."""
+
+    stop_sending_within_ns: int = 1_000_000_000  # time limit for stopping new sends to a draining upstream
+    ask_within_ns: int = 10_000_000_000  # a proxy without a list update for this long counts as informed
+    cold_from: float = 0.3  # share of its capacity that a freshly started upstream has
+    cold_ns: int = 0  # duration of the warm-up to full capacity
+    fall_multiple: float = 3.0  # an upstream that receives more than this multiple of its capacity
+    overload_for_ns: int = 2_000_000_000  # for this long, fails
+    full_unproven: bool = False  # `Result.FULL` does not prove that the request never ran
+    answer_grace_ns: int = 0  # a final response this long after the deadline still counts
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
+    """Costs that are weighed against the worth of requests."""
+
     cross_zone: float = 0.0
     waste: float = 0.0
     probe: float = 0.0
@@ -136,25 +147,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """Configuration of one balancer."""
+
     me: int = 0
     replicas_of_me: int = 1
     zone: str = ""
     zones: Sequence[str] = ()
-    discovery_push: bool = True  # list changes come by themselves
+    discovery_push: bool = True  # discovery pushes list changes; otherwise the proxy polls
     classes: Mapping[str, RequestClass] = field(default_factory=dict)
     tenants: Mapping[str, Tenant] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
-    report_columns: Sequence[str] = ()  # what load reports hold
+    report_columns: Sequence[str] = ()  # names of the columns in load reports
     reports_in_answers: bool = False
     weights: Weights = Weights.NONE
-    over_share_worth: float = 1.0  # worth of traffic beyond a tenant's share
-    retries_marked: bool = False  # clients flag their retries
+    over_share_worth: float = 1.0  # factor on the worth of traffic beyond a tenant's share
+    retries_marked: bool = False  # clients mark their retries
 
 
 class Upstream(NamedTuple):
-    """An entry of the upstream list."""
+    """One entry of the upstream list."""
 
     id: int
     state: State = State.READY
@@ -169,12 +182,14 @@
 
 
 class ListUpdate(NamedTuple):
+    """A full upstream list, changes to it, or a failed fetch."""
+
     kind: ListKind
     upstreams: Sequence[Upstream] = ()
 
 
 class Arrival(NamedTuple):
-    """A client's request; the proxy now owes it one final answer."""
+    """A client request. The proxy must give exactly one final response to it."""
 
     request: str
     class_name: str
@@ -186,19 +201,19 @@
 
 
 class Outcome(NamedTuple):
-    """How one attempt ended; every Send gets exactly one."""
+    """The result of one attempt. Every `Send` is followed by exactly one outcome."""
 
     request: str
     attempt: int
     upstream: int
     result: Result
     took_ns: int
-    complete: bool = False  # the request is over
+    complete: bool = False  # the whole request has ended
     report: Mapping[str, float] | None = None
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed answer has begun; the request's deadline no longer runs."""
+    """A streamed response has started. The request's deadline no longer applies."""
 
     request: str
     attempt: int
@@ -207,10 +222,14 @@
 
 
 class ClientGone(NamedTuple):
+    """The client disconnected before the final response."""
+
     request: str
 
 
 class ProbeResult(NamedTuple):
+    """The result of one probe."""
+
     upstream: int
     result: Result
     took_ns: int
@@ -218,27 +237,29 @@
 
 
 class PeerMessage(NamedTuple):
+    """A datagram from another balancer."""
+
     sender: int
     data: bytes
 
 
 class TimerFired(NamedTuple):
-    """A timer set with SetTimer is due."""
+    """A timer set with `SetTimer` has expired."""
 
     name: str
 
 
 class HeldRequest(NamedTuple):
-    """What the proxy holds for one request."""
+    """State that the proxy has for one open request."""
 
-    sends: int  # attempts that it was given
-    in_flight: bool = False  # the last of them has no outcome yet
+    sends: int  # number of attempts sent
+    in_flight: bool = False  # the last attempt has no outcome yet
 
 
 class Resync(NamedTuple):
-    """What the proxy holds, after a batch that the module did not survive: its events and actions are lost.
+    """The proxy's open requests, sent after the module raised an exception: that batch's events and actions are lost.
 
-    Of the requests named the module goes on with those it knows and ends the others; the whole list follows."""
+    The module continues with the listed requests that it knows and ends the others. A full list update follows."""
 
     requests: Mapping[str, HeldRequest]
 
@@ -249,36 +270,42 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt. A request's attempts are numbered from 0 in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered from 0 in the order in which they are sent."""
 
     request: str
     upstream: int
-    timeout_ns: int = 0  # 0: until the client gives up
+    timeout_ns: int = 0  # 0: no timeout before the client gives up
 
 
 class Refuse(NamedTuple):
-    """Final answer: turned away; trying again is harmless."""
+    """Final response: rejected without being executed; a retry is safe."""
 
     request: str
     retry_after_ns: int = 0
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about its effect."""
+    """Final response: failed; the request may or may not have been executed."""
 
     request: str
 
 
 class Cancel(NamedTuple):
+    """Cancel an attempt."""
+
     request: str
     attempt: int
 
 
 class Probe(NamedTuple):
+    """Send a probe to an upstream."""
+
     upstream: int
 
 
 class SendToPeer(NamedTuple):
+    """Send a datagram to other balancers."""
+
     data: bytes
     peer: int = -1  # -1: all peers
 
@@ -290,19 +317,25 @@
 
 
 class Subscribe(NamedTuple):
+    """Start or stop the subscription to list changes."""
+
     on: bool = True
 
 
 class FetchList(NamedTuple):
-    pass
+    """Fetch the whole upstream list once."""
 
 
 class SetTimer(NamedTuple):
+    """Set a timer; `TimerFired` with its name follows after the delay."""
+
     delay_ns: int
     name: str
 
 
 class WriteLog(NamedTuple):
+    """Write a line to the log."""
+
     text: str
 
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The adapter as a real subprocess: round trip, bad input, the same actions whatever the hash seed."""
+"""The adapter as a subprocess: round trip, invalid input, and actions independent of the hash seed."""
 
 from __future__ import annotations
 
