--- a/lanemux/sharing.py
+++ b/lanemux/sharing.py
@@ -1,11 +1,12 @@
-"""What the balancers that draw from the same upstreams tell one another of them. No I/O and no clock.
-
-Where many balancers carry little each, none sees much of any upstream: its own requests in flight say nothing of
-what the upstream holds, and each finds out for itself, at the price of a request, that one stands still. A word
-says of one upstream what its sender has in flight there and for how long it leaves it alone. It goes to the few
-balancers that have that upstream in their homes, which all compute alike, so neither its price nor the work on it
-grows with the fleet. Words may be lost, late or out of order: each tells the whole of what its sender has there,
-and is forgotten once all of that must have ended.
+"""Load information that balancers with common upstreams exchange. No I/O and no clock.
+
+Where many balancers carry little traffic each, none sees much of any upstream: its own requests in flight say little
+about the upstream's load, and each balancer must lose a request to find out that an upstream has stalled. A peer report
+(`core/peer_report.py`) states, for one upstream, how many requests its sender has in flight there and for how long the
+sender avoids it. It is sent only to the few balancers whose subset contains that upstream; all balancers compute the
+same subsets, so neither the cost of reports nor the work on them grows with the fleet. Reports may be lost, late or out
+of order: each contains the complete state of its sender for that upstream, and expires once every request that it
+counts must have ended.
 """
 
 from __future__ import annotations
@@ -15,26 +16,27 @@
 
 from lanemux.core.peer_report import MAX_DATAGRAM, REPORT_FORMAT, PeerReport
 
-MAX_RECIPIENTS = 16  # most that one word goes to: work on a request must not grow with the fleet
-CLAIM = 1  # requests that a peer may claim to hold beyond what any other does
-WORDS = 2  # an attempt: at its start and at its end
+MAX_RECIPIENTS = 16  # recipients of one report: the work per request must not grow with the fleet
+MAX_CLAIM_LEAD = 1  # requests in flight that a peer may claim beyond the next highest claim
+REPORTS_PER_ATTEMPT = 2  # one when the attempt starts and one when it ends
 
 
 def message_cost(peers: float, price_a_message: float) -> float:
-    """What the words of one attempt cost, told to so many, by the price of a full message a request."""
-    return price_a_message * WORDS * peers * REPORT_FORMAT.size / MAX_DATAGRAM
+    """Cost of the reports on one attempt to `peers` balancers; `price_a_message`: of one full message a request."""
+    return price_a_message * REPORTS_PER_ATTEMPT * peers * REPORT_FORMAT.size / MAX_DATAGRAM
 
 
-def peers_sharing(place: int, upstreams: int, home: int, proxies: int, me: int) -> tuple[int, ...]:
-    """The balancers, but for `me`, whose homes hold the upstream at that place of the ring.
+def peers_sharing(position: int, upstreams: int, subset_size: int, proxies: int, me: int) -> tuple[int, ...]:
+    """The balancers other than `me` whose subset contains the upstream at that position of the ring.
 
-    A balancer's home begins at `number * upstreams // proxies` and has `home` upstreams. With more than MAX_RECIPIENTS
-    of them, those that follow `me`: each then knows of some of the others what they hold."""
-    if home >= upstreams:
+    The subset of a balancer starts at `number * upstreams // proxies` and has `subset_size` upstreams. If more than
+    MAX_RECIPIENTS balancers qualify, only those that follow `me` are returned, so that each balancer knows the load of
+    some of the others."""
+    if subset_size >= upstreams:
         first, last = me + 1, me + proxies - 1
     else:
-        first = -(-(place - home + 1) * proxies // upstreams)
-        last = -(-(place + 1) * proxies // upstreams) - 1
+        first = -(-(position - subset_size + 1) * proxies // upstreams)
+        last = -(-(position + 1) * proxies // upstreams) - 1
     count = last - first + 1
     if count > MAX_RECIPIENTS:
         first, count = me + 1, min(MAX_RECIPIENTS, proxies - 1)
@@ -42,56 +44,61 @@
 
 
 def credible_load(claims: Sequence[int]) -> int:
-    """Requests that peers hold at an upstream, of what they claim: each at most CLAIM more than the next one.
+    """Requests of peers in flight at an upstream: the sum of their claims, with the highest claim capped.
 
-    Guards against one that claims many everywhere and so makes its neighbours refuse what their upstreams could
-    serve. All hold little there and choose the lightest, so that one alone seldom has many. Harm: where it does,
-    as long as nobody else has any, it is taken to have less."""
+    The highest claim counts for at most MAX_CLAIM_LEAD more than the second highest. This guards against a peer that
+    claims many requests everywhere and so makes its neighbours refuse work that their upstreams could serve. Balancers
+    send to the least loaded upstream, so a single peer rarely has many requests at one. The drawback: where a peer
+    really has, and no other peer has any, its load is underestimated."""
     if not claims:
         return 0
     first, second = (sorted(claims, reverse=True) + [0])[:2]
-    return sum(claims) - max(0, first - second - CLAIM)
+    return sum(claims) - max(0, first - second - MAX_CLAIM_LEAD)
 
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """The last word of one peer on one upstream."""
+    """The latest report of one peer on one upstream."""
 
-    number: int
-    held: int
-    heard_ns: int
+    sequence: int
+    in_flight: int
+    received_ns: int
 
 
 @dataclass(slots=True)
 class PeerLoad:
-    """What peers hold at one upstream, as far as their words have come."""
+    """Requests that peers have in flight at one upstream, according to the reports received."""
 
-    expiry_ns: int  # after this, all that a word told of has ended
+    expiry_ns: int  # lifetime of a report: by then all the requests that it counts have ended
     reports: dict[int, ReceivedReport] = field(default_factory=dict)
-    sum: int = 0
-    due_ns: int = 0  # when the first of the words that make up the sum is to be forgotten
+    cached_sum: int = 0
+    recompute_ns: int = 0  # when the first of the reports in `cached_sum` expires
 
-    def update(self, peer: int, word: PeerReport, now: int) -> bool:
-        """Take a peer's word; False for one that a later one has overtaken."""
+    def update(self, peer: int, report: PeerReport, now: int) -> bool:
+        """Store a peer's report. False if it is stale (a later one has arrived) or the table is full."""
         last = self.reports.get(peer)
-        if last is not None and now - last.heard_ns < self.expiry_ns and (word.sequence - last.number) % 256 >= 128:
+        if (
+            last is not None
+            and now - last.received_ns < self.expiry_ns
+            and (report.sequence - last.sequence) % 256 >= 128
+        ):
             return False
         if last is None and len(self.reports) >= 2 * MAX_RECIPIENTS:
-            self._forget(now)
+            self._discard_expired(now)
             if len(self.reports) >= 2 * MAX_RECIPIENTS:
                 return False
-        self.reports[peer] = ReceivedReport(word.sequence, word.in_flight, now)
-        self.due_ns = 0
+        self.reports[peer] = ReceivedReport(report.sequence, report.in_flight, now)
+        self.recompute_ns = 0
         return True
 
     def in_flight(self, now: int) -> int:
-        """Requests that peers have there."""
-        if now >= self.due_ns:
-            self._forget(now)
-            self.sum = credible_load([t.held for t in self.reports.values()])
-            self.due_ns = min((t.heard_ns for t in self.reports.values()), default=now) + self.expiry_ns
-        return self.sum
-
-    def _forget(self, now: int) -> None:
-        for peer in [p for p, t in self.reports.items() if now - t.heard_ns >= self.expiry_ns]:
+        """Requests that peers have in flight at the upstream."""
+        if now >= self.recompute_ns:
+            self._discard_expired(now)
+            self.cached_sum = credible_load([r.in_flight for r in self.reports.values()])
+            self.recompute_ns = min((r.received_ns for r in self.reports.values()), default=now) + self.expiry_ns
+        return self.cached_sum
+
+    def _discard_expired(self, now: int) -> None:
+        for peer in [p for p, r in self.reports.items() if now - r.received_ns >= self.expiry_ns]:
             del self.reports[peer]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""What balancers that share upstreams tell one another: the words, and what a fleet gains from them."""
+"""Peer reports between balancers that share upstreams: the format, and what a fleet gains from them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from lanemux import interface as api
 from lanemux import sharing
-from lanemux.core import peer_report as form
+from lanemux.core import peer_report
 from lanemux.policy import Balancer
 from tests.bench import MS, SECOND, START
 from tests.fleet import Box, Clients, Fleet, settings
@@ -20,19 +20,19 @@
     return api.ListUpdate(api.ListKind.FULL, [api.Upstream(n) for n in range(1, count + 1)])
 
 
-def tells(actions: list[api.Action]) -> list[api.SendToPeer]:
+def peer_sends(actions: list[api.Action]) -> list[api.SendToPeer]:
     return [a for a in actions if isinstance(a, api.SendToPeer)]
 
 
-def test_a_word_comes_back_as_it_was_said() -> None:
-    word = form.PeerReport(4_294_967_295, 7, 3, 2 * SECOND, last_ok=True)
-    assert form.read_reports(word.encode()) == [word]
-    (longest,) = form.read_reports(form.PeerReport(1, 300, 999, 60 * SECOND).encode())
-    assert (longest.sequence, longest.in_flight, longest.avoid_ns) == (44, 127, 255 * form.AVOID_STEP_NS)
+def test_a_report_survives_encoding_and_decoding() -> None:
+    report = peer_report.PeerReport(4_294_967_295, 7, 3, 2 * SECOND, last_ok=True)
+    assert peer_report.read_reports(report.encode()) == [report]
+    (longest,) = peer_report.read_reports(peer_report.PeerReport(1, 300, 999, 60 * SECOND).encode())
+    assert (longest.sequence, longest.in_flight, longest.avoid_ns) == (44, 127, 255 * peer_report.AVOID_STEP_NS)
 
 
 @pytest.mark.parametrize("data", [b"", b"x", b"\x00" * 6, b"\xff" * 8, b"\x00" * 256])
-def test_what_is_no_word_changes_nothing(data: bytes) -> None:
+def test_malformed_reports_are_ignored(data: bytes) -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
     balancer.handle(START + MS, [api.PeerMessage(3, data)])
@@ -40,183 +40,187 @@
 
 
 @pytest.mark.parametrize(
-    ("proxies", "upstreams", "home"),
+    ("proxies", "upstreams", "subset"),
     [(40, 60, 10), (40, 59, 9), (4, 60, 15), (400, 120, 4), (40, 8, 8), (3, 2, 2), (1, 5, 5)],
 )
-def test_those_who_share_an_upstream_are_those_whose_homes_hold_it(proxies: int, upstreams: int, home: int) -> None:
-    homes = [{(p * upstreams // proxies + i) % upstreams for i in range(home)} for p in range(proxies)]
-    for place in range(upstreams):
-        holders = {p for p in range(proxies) if place in homes[p]}
+def test_peers_sharing_an_upstream_are_those_whose_subset_contains_it(
+    proxies: int, upstreams: int, subset: int
+) -> None:
+    subsets = [{(p * upstreams // proxies + i) % upstreams for i in range(subset)} for p in range(proxies)]
+    for position in range(upstreams):
+        holders = {p for p in range(proxies) if position in subsets[p]}
         for me in range(proxies):
-            told = sharing.peers_sharing(place, upstreams, home, proxies, me)
-            assert me not in told
+            recipients = sharing.peers_sharing(position, upstreams, subset, proxies, me)
+            assert me not in recipients
             if len(holders) <= sharing.MAX_RECIPIENTS:
-                assert sorted(told) == sorted(holders - {me})
-            assert len(told) <= sharing.MAX_RECIPIENTS
+                assert sorted(recipients) == sorted(holders - {me})
+            assert len(recipients) <= sharing.MAX_RECIPIENTS
 
 
-def test_a_word_that_a_later_one_has_overtaken_says_nothing() -> None:
-    here = sharing.PeerLoad(expiry_ns=200 * MS)
-    assert here.update(5, form.PeerReport(1, 255, 2), START)
-    assert here.update(5, form.PeerReport(1, 256, 0), START + MS)
-    assert not here.update(5, form.PeerReport(1, 255, 2), START + 2 * MS)
-    assert here.in_flight(START + 3 * MS) == 0
-    assert here.update(6, form.PeerReport(1, 1, 1), START + 3 * MS)
-    assert here.in_flight(START + 4 * MS) == 1
-    assert here.in_flight(START + 203 * MS) == 0  # its end was lost
-    assert here.update(5, form.PeerReport(1, 90, 1), START + 400 * MS)  # a peer that has begun anew
+def test_an_overtaken_report_is_ignored() -> None:
+    load = sharing.PeerLoad(expiry_ns=200 * MS)
+    assert load.update(5, peer_report.PeerReport(1, 255, 2), START)
+    assert load.update(5, peer_report.PeerReport(1, 256, 0), START + MS)
+    assert not load.update(5, peer_report.PeerReport(1, 255, 2), START + 2 * MS)
+    assert load.in_flight(START + 3 * MS) == 0
+    assert load.update(6, peer_report.PeerReport(1, 1, 1), START + 3 * MS)
+    assert load.in_flight(START + 4 * MS) == 1
+    assert load.in_flight(START + 203 * MS) == 0  # the report of its end was lost
+    assert load.update(5, peer_report.PeerReport(1, 90, 1), START + 400 * MS)  # a restarted peer
 
 
-def test_words_of_any_number_of_senders_take_bounded_room() -> None:
-    here = sharing.PeerLoad(expiry_ns=200 * MS)
+def test_reports_of_any_number_of_senders_use_bounded_memory() -> None:
+    load = sharing.PeerLoad(expiry_ns=200 * MS)
     for peer in range(10_000):
-        here.update(peer, form.PeerReport(1, 1, 1), START)
-    assert len(here.reports) <= 2 * sharing.MAX_RECIPIENTS
-    assert here.update(10_001, form.PeerReport(1, 1, 1), START + 200 * MS)
-    assert here.in_flight(START + 200 * MS) == 1
+        load.update(peer, peer_report.PeerReport(1, 1, 1), START)
+    assert len(load.reports) <= 2 * sharing.MAX_RECIPIENTS
+    assert load.update(10_001, peer_report.PeerReport(1, 1, 1), START + 200 * MS)
+    assert load.in_flight(START + 200 * MS) == 1
 
 
 @pytest.mark.parametrize(
     "changes",
     [
         {"limits": api.Limits(max_attempts=5, may_cancel=True, probes=True)},  # no peers
-        {"prices": api.Prices(peer=0.01, probe=0.002)},  # looks are cheap
-        {"prices": api.Prices(peer=0.1, probe=0.12)},  # words are dear
+        {"prices": api.Prices(peer=0.01, probe=0.002)},  # probes are cheap
+        {"prices": api.Prices(peer=0.1, probe=0.12)},  # reports are expensive
     ],
 )
-def test_nothing_is_told_where_it_is_not_allowed_or_not_worth_its_price(changes: dict[str, object]) -> None:
+def test_no_reports_are_sent_where_not_allowed_or_not_worth_their_price(changes: dict[str, object]) -> None:
     balancer = Balancer(settings(0, 40, **changes), 1, START)
     balancer.handle(START, [ready(60)])
-    assert not tells(balancer.handle(START + MS, [api.Arrival("a", "quote", "ash", START + 400 * MS)]))
+    assert not peer_sends(balancer.handle(START + MS, [api.Arrival("a", "quote", "ash", START + 400 * MS)]))
 
 
-def test_a_word_is_no_listing_and_nobody_who_is_barred_there_is_sent_on() -> None:
-    """An upstream that only a peer has named is none; one that a peer leaves alone is left alone here too."""
+def test_a_report_adds_no_upstream_and_avoided_upstreams_get_no_requests() -> None:
+    """An upstream known only from a report is not used; one that a peer avoids is avoided here too."""
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
-    shunned = home[:5]
-    words = [form.PeerReport(s.id, 1, 0, SECOND) for s in shunned] + [form.PeerReport(999, 1, 0, SECOND)]
-    balancer.handle(START + MS, [api.PeerMessage(1, w.encode()) for w in words])
+    subset = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
+    avoided = subset[:5]
+    reports = [peer_report.PeerReport(s.id, 1, 0, SECOND) for s in avoided] + [
+        peer_report.PeerReport(999, 1, 0, SECOND)
+    ]
+    balancer.handle(START + MS, [api.PeerMessage(1, r.encode()) for r in reports])
     assert 999 not in balancer.fleet.servers
     sent = set()
     for i in range(5):
         now = START + (2 + i) * MS
         actions = balancer.handle(now, [api.Arrival(f"a{i}", "quote", "ash", now + 400 * MS)])
         sent |= {a.upstream for a in actions if isinstance(a, api.Send)}
-    assert sent == {s.id for s in home[5:]}
+    assert sent == {s.id for s in subset[5:]}
 
 
-def test_peers_cannot_talk_a_balancer_out_of_most_of_its_home() -> None:
+def test_peers_cannot_make_a_balancer_avoid_most_of_its_subset() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    words = [form.PeerReport(s.id, 1, 0, 3 * SECOND) for s in balancer.fleet.servers.values()]
-    balancer.handle(START + MS, [api.PeerMessage(1, w.encode()) for w in words])
+    reports = [peer_report.PeerReport(s.id, 1, 0, 3 * SECOND) for s in balancer.fleet.servers.values()]
+    balancer.handle(START + MS, [api.PeerMessage(1, r.encode()) for r in reports])
     pool = balancer.fleet.any
     assert sum(balancer.fleet.fit(s, START + 2 * MS) for s in pool.candidates) >= 0.2 * pool.width
 
 
-def test_the_load_of_others_is_seen_and_a_struck_upstream_is_tried_by_one() -> None:
+def test_peer_load_is_counted_and_a_failed_upstream_is_tried_by_one_balancer() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
-    idle = home[3]
+    subset = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
+    idle = subset[3]
     balancer.handle(
-        START + MS, [api.PeerMessage(2, form.PeerReport(s.id, 1, 2).encode()) for s in home if s is not idle]
+        START + MS, [api.PeerMessage(2, peer_report.PeerReport(s.id, 1, 2).encode()) for s in subset if s is not idle]
     )
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
     assert [a.upstream for a in actions if isinstance(a, api.Send)] == [idle.id]
-    assert {a.peer for a in tells(actions)} == set(balancer.fleet.place(idle).peers)
-    struck = home[0]
-    balancer.handle(START + 3 * MS, [api.PeerMessage(2, form.PeerReport(struck.id, 2, 0, 50 * MS).encode())])
+    assert {a.peer for a in peer_sends(actions)} == set(balancer.fleet.place(idle).peers)
+    failing = subset[0]
+    balancer.handle(START + 3 * MS, [api.PeerMessage(2, peer_report.PeerReport(failing.id, 2, 0, 50 * MS).encode())])
     now = START + 60 * MS
-    assert balancer.fleet.fit(struck, now)
-    balancer.handle(now, [api.PeerMessage(7, form.PeerReport(struck.id, 1, 1).encode())])
-    assert not balancer.fleet.fit(struck, now + MS)
+    assert balancer.fleet.fit(failing, now)
+    balancer.handle(now, [api.PeerMessage(7, peer_report.PeerReport(failing.id, 1, 1).encode())])
+    assert not balancer.fleet.fit(failing, now + MS)
 
 
-def test_what_one_finds_sound_again_all_use_again_and_failures_of_all_add_up() -> None:
+def test_recovery_seen_by_one_balancer_counts_for_all_and_failures_add_up() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    struck, now = balancer.fleet.any.candidates[2], START
-    for number in range(1, 4):  # three rests, told one after the other by different peers
-        balancer.handle(now, [api.PeerMessage(number, form.PeerReport(struck.id, 1, 0, 100 * MS).encode())])
+    failing, now = balancer.fleet.any.candidates[2], START
+    for number in range(1, 4):  # three avoidance periods in a row, reported by different peers
+        balancer.handle(now, [api.PeerMessage(number, peer_report.PeerReport(failing.id, 1, 0, 100 * MS).encode())])
         now += 150 * MS
-    assert struck.strikes == 3
-    balancer.handle(now, [api.PeerMessage(9, form.PeerReport(struck.id, 1, 0, 2 * SECOND).encode())])
-    assert not balancer.fleet.fit(struck, now + MS)
-    balancer.handle(now + 2 * MS, [api.PeerMessage(1, form.PeerReport(struck.id, 2, 0, last_ok=True).encode())])
-    assert balancer.fleet.fit(struck, now + 3 * MS)
-    assert not struck.strikes
+    assert failing.strikes == 3
+    balancer.handle(now, [api.PeerMessage(9, peer_report.PeerReport(failing.id, 1, 0, 2 * SECOND).encode())])
+    assert not balancer.fleet.fit(failing, now + MS)
+    balancer.handle(now + 2 * MS, [api.PeerMessage(1, peer_report.PeerReport(failing.id, 2, 0, last_ok=True).encode())])
+    assert balancer.fleet.fit(failing, now + 3 * MS)
+    assert not failing.strikes
 
 
-def test_a_request_with_too_little_time_left_is_refused_at_once_not_sent() -> None:
+def test_a_request_with_too_little_time_left_is_refused_immediately() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
-    words = [form.PeerReport(s.id, 1, 30) for s in home]
-    balancer.handle(START + MS, [api.PeerMessage(peer, w.encode()) for w in words for peer in (1, 2)])
+    subset = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
+    reports = [peer_report.PeerReport(s.id, 1, 30) for s in subset]
+    balancer.handle(START + MS, [api.PeerMessage(peer, r.encode()) for r in reports for peer in (1, 2)])
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
     assert [type(a) for a in actions if not isinstance(a, api.SetTimer)] == [api.Refuse]
 
 
-def test_a_fleet_that_tells_serves_what_one_that_does_not_lets_run_late() -> None:
-    """Half of what the upstreams can do is asked, spread thin."""
+def test_a_fleet_with_reports_serves_requests_that_are_late_without_reports() -> None:
+    """The load is half of the capacity, with little traffic per balancer."""
     late = {}
-    for tell in (True, False):
-        fleet = Fleet(40, 60, 5, tell)
+    for with_reports in (True, False):
+        fleet = Fleet(40, 60, 5, with_reports)
         fleet.run(3.0, 560.0)
-        late[tell] = fleet.ended["refused"] / fleet.ended["asked"]
+        late[with_reports] = fleet.ended["refused"] / fleet.ended["asked"]
     assert late[True] < 0.75 * late[False]
 
 
 @pytest.mark.parametrize(("proxies", "boxes"), [(40, 60), (400, 600), (4000, 6000)])
-def test_what_a_request_costs_in_words_does_not_grow_with_the_fleet(proxies: int, boxes: int) -> None:
+def test_reports_per_request_do_not_grow_with_the_fleet(proxies: int, boxes: int) -> None:
     balancer = Balancer(settings(17, proxies), 1, START)
     balancer.handle(START, [ready(boxes)])
     actions = balancer.handle(START + MS, [api.Arrival("a", "quote", "ash", START + 400 * MS)])
-    assert 5 <= len(tells(actions)) <= 7
+    assert 5 <= len(peer_sends(actions)) <= 7
 
 
-def test_balancers_that_share_nothing_tell_nothing() -> None:
+def test_balancers_without_common_upstreams_send_no_reports() -> None:
     fleet = Fleet(4, 60, 5)
     fleet.run(1.0, 560.0)
     assert not fleet.told
 
 
-def test_one_balancer_that_finds_an_upstream_dead_spares_those_that_share_it() -> None:
-    """A third of the upstreams refuses every connection, and the list says nothing of it."""
+def test_a_dead_upstream_found_by_one_balancer_costs_its_peers_fewer_requests() -> None:
+    """A third of the upstreams refuses every connection but is still listed as ready."""
     failed = {}
-    for tell in (True, False):
-        fleet = Fleet(40, 60, 8, tell, known=lambda n: Box(dead=n % 3 == 0))
+    for with_reports in (True, False):
+        fleet = Fleet(40, 60, 8, with_reports, known=lambda n: Box(dead=n % 3 == 0))
         fleet.run(4.0, 300.0)
-        failed[tell] = sum(k for (_, result), k in fleet.by_box.items() if result is api.Result.CONNECT_FAILED)
+        failed[with_reports] = sum(k for (_, result), k in fleet.by_box.items() if result is api.Result.CONNECT_FAILED)
     assert failed[True] < 0.4 * failed[False]
 
 
-def test_upstreams_that_finish_nothing_in_time_cost_a_fleet_that_tells_few_requests() -> None:
+def test_slow_upstreams_cost_a_fleet_with_reports_fewer_requests() -> None:
     slow, late = random.Random(3).sample(range(1, 61), 9), {}
-    for tell in (True, False):
-        fleet = Fleet(40, 60, 9, tell, known=lambda n: Box(speed=0.15 if n in slow else 1.0))
+    for with_reports in (True, False):
+        fleet = Fleet(40, 60, 9, with_reports, known=lambda n: Box(speed=0.15 if n in slow else 1.0))
         fleet.run(5.0, 400.0)
-        late[tell] = sum(fleet.by_box[n, api.Result.TIMEOUT] for n in slow)
+        late[with_reports] = sum(fleet.by_box[n, api.Result.TIMEOUT] for n in slow)
     assert late[True] < 0.45 * late[False]
 
 
 @pytest.mark.parametrize(("proxies", "boxes"), [(40, 60), (400, 60)])
-def test_all_together_stay_within_what_cold_upstreams_bear(proxies: int, boxes: int) -> None:
-    """Half of the upstreams come back cold, at once, under more than the other half can do."""
+def test_the_fleet_stays_within_the_capacity_of_cold_upstreams(proxies: int, boxes: int) -> None:
+    """Half of the upstreams restart cold at the same time, under more load than the other half can serve."""
     cold = 0.31
     fleet = Fleet(proxies, boxes, 6, known=lambda n: Box(speed=cold, started_ns=START - MS) if n % 2 else Box())
     fleet.run(2.0, boxes * 12.0)
-    window, bears = 3 * SECOND // 2, 2.5 * cold * 1.5
+    window, limit = 3 * SECOND // 2, 2.5 * cold * 1.5
     for box in (b for n, b in fleet.boxes.items() if n % 2):
         for i, (start, _) in enumerate(box.sent):
-            assert sum(w for when, w in box.sent[i:] if when - start < window) <= bears
+            assert sum(w for when, w in box.sent[i:] if when - start < window) <= limit
 
 
-def test_ten_thousand_replaced_upstreams_leave_nothing_behind() -> None:
-    """Each is loaded, barred and told of by peers before it goes, and told of once more when it has gone."""
+def test_ten_thousand_replaced_upstreams_leak_no_objects() -> None:
+    """Each gets requests, is blocked and reported by peers before its removal, and is reported once more after it."""
     balancer, now = Balancer(settings(0, 40), 1, START), START
     balancer.handle(now, [ready(60)])
 
@@ -224,11 +228,11 @@
         nonlocal now
         for old in range(first, first + count):
             now += 20 * MS
-            words = [
-                form.PeerReport(old, now // MS, 1, 100 * MS).encode(),
-                form.PeerReport(old + 1, now // MS, 0).encode(),
+            reports = [
+                peer_report.PeerReport(old, now // MS, 1, 100 * MS).encode(),
+                peer_report.PeerReport(old + 1, now // MS, 0).encode(),
             ]
-            events = [api.PeerMessage(peer, word) for peer in (1, 2) for word in words]
+            events = [api.PeerMessage(peer, report) for peer in (1, 2) for report in reports]
             actions = balancer.handle(
                 now,
                 [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.TimerFired(str(balancer.timer))],
@@ -238,7 +242,7 @@
                 balancer.handle(now + MS, [api.Outcome(send.request, 0, send.upstream, result, MS, True)])
             change = [api.Upstream(old, api.State.GONE), api.Upstream(old + 60, started_ns=now)]
             balancer.handle(now + 2 * MS, [api.ListUpdate(api.ListKind.DELTA, change)])
-            balancer.handle(now + 3 * MS, [api.PeerMessage(3, word) for word in words[:1]])
+            balancer.handle(now + 3 * MS, [api.PeerMessage(3, report) for report in reports[:1]])
         now += 20 * SECOND
         balancer.handle(now, [api.TimerFired(str(balancer.timer))])
         gc.collect()
@@ -252,21 +256,21 @@
 @pytest.mark.parametrize(
     ("claims", "held"), [([], 0), ([0, 0], 0), ([127], 1), ([2, 1], 3), ([127, 1, 0], 3), ([5, 5, 5], 15)]
 )
-def test_what_one_peer_claims_alone_is_believed_as_far_as_others_show_it(claims: list[int], held: int) -> None:
-    here = sharing.PeerLoad(expiry_ns=200 * MS)
+def test_the_highest_claim_is_capped_by_the_second_highest(claims: list[int], held: int) -> None:
+    load = sharing.PeerLoad(expiry_ns=200 * MS)
     for peer, claim in enumerate(claims):
-        here.update(peer, form.PeerReport(1, 1, claim), START)
-    assert here.in_flight(START) == held
+        load.update(peer, peer_report.PeerReport(1, 1, claim), START)
+    assert load.in_flight(START) == held
 
 
 def neighbours(fleet: Fleet) -> float:
-    """Served share of those next to balancer 7, which hold most of its upstreams."""
+    """Share of requests served by the neighbours of balancer 7, which share most of its upstreams."""
     return sum(fleet.served_by[i] for i in (6, 8)) / sum(fleet.asked_of[i] for i in (6, 8))
 
 
 @pytest.mark.parametrize("bad", ["liar", "liar while all is full", "replays", "another order"])
 def test_one_bad_peer_costs_its_neighbours_little(bad: str) -> None:
-    """Without a bound on what one may claim the liar's neighbours served 0.66 of what they were asked for 0.96."""
+    """Without the cap on claims, the neighbours of a peer with false claims served 0.66 of their requests, not 0.96."""
     shares, rate = [], 900.0 if "full" in bad else 400.0
     for wrong in (False, True):
         fleet = Fleet(40, 60, 11)
@@ -281,48 +285,51 @@
     assert shares[1] > shares[0] - (0.15 if "full" in bad else 0.05)
 
 
-def test_a_balancer_that_began_anew_is_believed_once_its_old_words_are_forgotten() -> None:
-    here = sharing.PeerLoad(expiry_ns=200 * MS)
+def test_a_restarted_balancer_is_heard_once_its_old_reports_have_expired() -> None:
+    load = sharing.PeerLoad(expiry_ns=200 * MS)
     for peer in (1, 2):
-        assert here.update(peer, form.PeerReport(1, 200, 2), START)
-    assert not here.update(1, form.PeerReport(1, 100, 0), START + 100 * MS)  # may be an overtaken one
-    assert here.update(1, form.PeerReport(1, 101, 0), START + 201 * MS)
-    assert here.in_flight(START + 201 * MS) == 0
-
-
-def test_words_for_one_peer_go_together_and_none_is_lost() -> None:
-    said = {3: [form.PeerReport(n, 1, 1).encode() for n in range(80)], 5: [form.PeerReport(7, 2, 0).encode()]}
-    sent = list(form.datagrams(said))
+        assert load.update(peer, peer_report.PeerReport(1, 200, 2), START)
+    assert not load.update(1, peer_report.PeerReport(1, 100, 0), START + 100 * MS)  # may be an overtaken report
+    assert load.update(1, peer_report.PeerReport(1, 101, 0), START + 201 * MS)
+    assert load.in_flight(START + 201 * MS) == 0
+
+
+def test_reports_for_one_peer_are_combined_and_none_is_lost() -> None:
+    said = {
+        3: [peer_report.PeerReport(n, 1, 1).encode() for n in range(80)],
+        5: [peer_report.PeerReport(7, 2, 0).encode()],
+    }
+    sent = list(peer_report.datagrams(said))
     assert [peer for peer, _ in sent] == [3, 3, 3, 5]
-    assert all(len(data) <= form.MAX_DATAGRAM for _, data in sent)
-    assert [w.upstream for peer, data in sent if peer == 3 for w in form.read_reports(data)] == list(range(80))
+    assert all(len(data) <= peer_report.MAX_DATAGRAM for _, data in sent)
+    assert [r.upstream for peer, data in sent if peer == 3 for r in peer_report.read_reports(data)] == list(range(80))
 
 
-def test_a_batch_tells_each_peer_in_one_message() -> None:
+def test_a_batch_sends_one_message_per_peer() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
     actions = balancer.handle(START + MS, [api.Arrival(f"a{i}", "quote", "ash", START + 400 * MS) for i in range(8)])
-    told = tells(actions)
-    assert len({a.peer for a in told}) == len(told)
-    assert sum(len(form.read_reports(a.data)) for a in told) > 2 * len(told)
+    sends = peer_sends(actions)
+    assert len({a.peer for a in sends}) == len(sends)
+    assert sum(len(peer_report.read_reports(a.data)) for a in sends) > 2 * len(sends)
 
 
-def test_a_fleet_that_is_short_serves_fresh_work_before_second_tries() -> None:
-    """Clients ask again 60 ms after a refusal and wait for 376 ms in all; what comes after 150 ms is worth nothing."""
+def test_an_overloaded_fleet_serves_new_requests_before_retries() -> None:
+    """Clients retry 60 ms after a refusal and wait 376 ms in total; responses after 150 ms have no worth."""
     clients = Clients(150 * MS, 376 * MS, 0.49, 3, 60 * MS, 0.2)
     short = Fleet(20, 24, 3, clients=clients, work_ns=43 * MS)
     short.run(3.0, 650.0)
-    assert short.ended["served"] > 0.6 * short.ended["asked"]  # 0.47 where a second try is taken for fresh
+    assert short.ended["served"] > 0.6 * short.ended["asked"]  # 0.47 if retries are treated as new requests
     assert short.ended["late"] < 0.05 * short.ended["asked"]
     calm = Fleet(20, 24, 4, clients=clients, work_ns=43 * MS, known=lambda n: Box(dead=n % 6 == 0))
     calm.run(3.0, 200.0)
     assert calm.ended["served"] > 0.95 * calm.ended["asked"]
 
 
-def test_many_balancers_that_hear_of_a_cold_upstream_do_not_come_at_once() -> None:
-    """400 over 60, and six more that start cold: up to 13 requests came to one of these, half of what it bears."""
+def test_many_balancers_do_not_all_send_to_a_cold_upstream_at_once() -> None:
+    """400 balancers, 60 upstreams and six more that start cold: one once got 13 requests, half its limit."""
     fleet = Fleet(400, 60, 1)
-    fleet.run(1.5, 480.0)  # all have learned what a request takes, and are careful for that reason no more
+    fleet.run(1.5, 480.0)  # now all have measured the cost of a request and are no longer cautious for lack of data
     cold = [fleet.join(Box(speed=0.31, started_ns=fleet.now - MS)) for _ in range(6)]
     fleet.run(1.0, 720.0)
     assert max(sum(work for _, work in fleet.boxes[n].sent) for n in cold) < 0.35 * 2.5 * 0.31 * 1.5
