--- a/lanemux/core/__init__.py
+++ b/lanemux/core/__init__.py
@@ -1,1 +1,1 @@
-"""What any front and any list source share: addresses, membership, the seam for sources."""
+"""Code that every frontend and list source shares: addresses, membership, and the interfaces for sources."""
--- a/lanemux/core/address.py
+++ b/lanemux/core/address.py
@@ -1,29 +1,29 @@
-"""IP addresses with a port, as configuration and lists give them. No I/O."""
+"""Parsing of IP addresses with a port, as used in configuration and upstream lists. No I/O."""
 
 from __future__ import annotations
 
 Address = tuple[str, int]
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class BadAddress(ValueError):
-    """No IP address with a port."""
+    """The text is not an IP address with a port."""
 
 
 def read_address(text: str) -> Address:
-    """An IP address and a port, IPv6 with or without brackets; BadAddress for all else.
+    """Parse an IP address and a port, IPv6 with or without brackets; BadAddress for anything else.
 
-    A name is none: looking it up would block, and there is no DNS."""
+    Host names are rejected: there is no DNS, and a lookup would block."""
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
-    known = _is_v6(host) if ":" in host else _is_v4(host)
-    if not (known and port.isascii() and port.isdigit() and len(port) <= 5 and int(port) <= MOST_PORT):
+    valid = _is_v6(host) if ":" in host else _is_v4(host)
+    if not (valid and port.isascii() and port.isdigit() and len(port) <= 5 and int(port) <= MAX_PORT):
         raise BadAddress(f"no address: {text!r:.80}")
     return host, int(port)
 
 
 def _is_v4(host: str) -> bool:
-    """Four decimal numbers; a leading zero would be read as octal elsewhere."""
+    """Four decimal numbers without leading zeros, which other software reads as octal."""
     parts = host.split(".")
     return len(parts) == 4 and all(
         p.isascii() and p.isdigit() and len(p) <= 3 and str(int(p)) == p and int(p) < 256 for p in parts
@@ -31,7 +31,7 @@
 
 
 def _is_v6(host: str) -> bool:
-    import ipaddress  # only here: most installations have none, and it would make every start slower
+    import ipaddress  # imported lazily: most installations use no IPv6, and the import would slow down every start
 
     try:
         return "%" not in host and bool(ipaddress.IPv6Address(host).packed)
--- a/lanemux/core/clock.py
+++ b/lanemux/core/clock.py
@@ -1,7 +1,7 @@
-"""The clock: that of the running loop, in whole nanoseconds.
+"""The clock of the running event loop, in integer nanoseconds.
 
-In service it is the monotonic clock, on a virtual loop that loop's own. Timers set on the loop and times read here
-never disagree.
+In production it is the monotonic clock; in a simulation it is the virtual loop's clock. Either way, times read here are
+consistent with timers set on the loop.
 """
 
 from __future__ import annotations
@@ -12,5 +12,5 @@
 
 
 def now_ns() -> int:
-    """Nanoseconds on the running loop's clock; never goes back."""
+    """Nanoseconds on the running loop's clock, which never goes backwards."""
     return int(asyncio.get_running_loop().time() * SECOND)
--- a/lanemux/core/cordons.py
+++ b/lanemux/core/cordons.py
@@ -1,8 +1,8 @@
-"""Upstreams that operators take out by hand. No I/O and no clock: times are handed in.
+"""Upstreams that operators have cordoned. No I/O and no clock: callers pass in the time.
 
-A ban lasts until it is called back, whatever the list says: it is known by the host's name, so it outlives the host's
-leaving the list, its moves and its restarts. The decisions see a cordoned upstream as one that drains, and after the
-call back as one that has just started, since operators restart what they take out.
+A cordon lasts until it is lifted, whatever the list says: it is stored by host name, so it survives the host's removal
+from the list, address changes and restarts. The decision module sees a cordoned upstream as draining. After an uncordon
+it sees it as freshly started, because operators usually restart what they cordon.
 """
 
 from __future__ import annotations
@@ -13,76 +13,77 @@
 from lanemux import interface as api
 from lanemux.core.membership import Entry
 
-MAX_CORDONS = 4096  # hosts with a word of the operators; far more than anybody takes out by hand
+MAX_CORDONS = 4096  # hosts with a record; far more than anybody cordons manually
 
 
 @dataclass(frozen=True, slots=True)
 class CordonRecord:
-    """The operators' last word on one host."""
+    """The latest cordon or uncordon of one host by an operator."""
 
     host: str
     cordoned: bool
-    at_ns: int  # Unix time at which it was said: of two words the later one holds
+    at_ns: int  # Unix time of the operation: the later of two records wins
 
 
 class Cordons:
-    """What operators said of hosts. Its table holds the bans, and the calls back until nobody needs them."""
+    """The cordon records of all hosts. Uncordon records are discarded once they have no effect."""
 
     def __init__(self, offset_ns: int, cold_ns: int) -> None:
-        """`offset_ns`: from the module's clock to Unix time; `cold_ns`: for how long a call back means cold."""
+        """`offset_ns`: Unix time minus the module's clock; `cold_ns`: how long a host is cold after an uncordon."""
         self._offset_ns = offset_ns
         self._cold_ns = cold_ns
-        self._words: dict[str, CordonRecord] = {}
+        self._records: dict[str, CordonRecord] = {}
 
     def is_cordoned(self, host: str) -> bool:
-        word = self._words.get(host)
-        return word is not None and word.cordoned
+        """Whether a host is cordoned now."""
+        record = self._records.get(host)
+        return record is not None and record.cordoned
 
     def record(self, host: str) -> CordonRecord | None:
-        """The last word on a host, while it counts."""
-        return self._words.get(host)
+        """The record of a host, if there is one."""
+        return self._records.get(host)
 
     @property
     def cordoned_hosts(self) -> list[str]:
-        """Those that are out."""
-        return [w.host for w in self._words.values() if w.cordoned]
+        """Hosts that are cordoned now."""
+        return [r.host for r in self._records.values() if r.cordoned]
 
     def has_room(self, host: str) -> bool:
-        """May one more word be kept?"""
-        return host in self._words or len(self._words) < MAX_CORDONS
-
-    def new_record(self, host: str, out: bool, now_unix_ns: int) -> CordonRecord:
-        """What an operator says now: later than all that was said of the host, whatever the wall clock did since."""
-        known = self._words.get(host)
-        return CordonRecord(host, out, max(now_unix_ns, known.at_ns + 1 if known is not None else 1))
-
-    def apply(self, word: CordonRecord) -> bool:
-        """Take a word, also one told to another process of this balancer; does it change what holds?"""
-        known = self._words.get(word.host)
-        if (known is not None and known.at_ns >= word.at_ns) or not self.has_room(word.host):
+        """Whether a record for this host fits into the table."""
+        return host in self._records or len(self._records) < MAX_CORDONS
+
+    def new_record(self, host: str, cordoned: bool, now_unix_ns: int) -> CordonRecord:
+        """A record as of now, timestamped later than the host's current record even if the wall clock was set back."""
+        known = self._records.get(host)
+        return CordonRecord(host, cordoned, max(now_unix_ns, known.at_ns + 1 if known is not None else 1))
+
+    def apply(self, record: CordonRecord) -> bool:
+        """Store a record, possibly from another process of this balancer; returns whether the host's state changed."""
+        known = self._records.get(record.host)
+        if (known is not None and known.at_ns >= record.at_ns) or not self.has_room(record.host):
             return False
-        self._words[word.host] = word
-        return known is None or known.cordoned is not word.cordoned
+        self._records[record.host] = record
+        return known is None or known.cordoned is not record.cordoned
 
     def discard_expired(self, now_ns: int) -> None:
-        """Nothing is kept of calls back that are long over."""
+        """Discard uncordon records whose cold period is over."""
         before = now_ns + self._offset_ns - self._cold_ns
-        for word in [w for w in self._words.values() if not w.cordoned and w.at_ns < before]:
-            del self._words[word.host]
+        for record in [r for r in self._records.values() if not r.cordoned and r.at_ns < before]:
+            del self._records[record.host]
 
     def effective_entries(self, entries: Iterable[Entry], now_ns: int) -> list[Entry]:
-        """The entries as the operators want them to be known."""
-        if not self._words:
+        """The entries with the operators' cordons applied."""
+        if not self._records:
             return list(entries)
-        return [self._entry(e, now_ns) for e in entries]
+        return [self._effective_entry(e, now_ns) for e in entries]
 
-    def _entry(self, entry: Entry, now_ns: int) -> Entry:
-        word, upstream = self._words.get(entry.host), entry.upstream
-        if word is None or upstream.state is api.State.GONE:
+    def _effective_entry(self, entry: Entry, now_ns: int) -> Entry:
+        record, upstream = self._records.get(entry.host), entry.upstream
+        if record is None or upstream.state is api.State.GONE:
             return entry
-        if word.cordoned:
+        if record.cordoned:
             return replace(entry, upstream=upstream._replace(state=api.State.DRAINING))
-        back_ns = word.at_ns - self._offset_ns
-        if back_ns <= upstream.started_ns or now_ns - back_ns >= self._cold_ns:
+        uncordoned_ns = record.at_ns - self._offset_ns
+        if uncordoned_ns <= upstream.started_ns or now_ns - uncordoned_ns >= self._cold_ns:
             return entry
-        return replace(entry, upstream=upstream._replace(started_ns=max(1, min(back_ns, now_ns))))
+        return replace(entry, upstream=upstream._replace(started_ns=max(1, min(uncordoned_ns, now_ns))))
--- a/lanemux/core/failures.py
+++ b/lanemux/core/failures.py
@@ -1,4 +1,4 @@
-"""Which failures of system calls pass by themselves, and how long to pause before the next try. No I/O, no clock."""
+"""Classification of system call errors as permanent or transient, and backoff for retries. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import math
 from typing import Protocol
 
-# The same call would fail the same way for ever: a privilege is missing, or what was named is no such thing.
+# Retrying is pointless: a privilege is missing, or the named object is of the wrong kind.
 PERMANENT = frozenset(
     {
         errno.EACCES,
@@ -23,68 +23,68 @@
         errno.ENAMETOOLONG,
     }
 )
-# `socket` or `connect` failed on this machine: the other side has not been asked.
+# `socket` or `connect` failed on this machine, before the remote side was contacted.
 LOCAL = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN})
-# There is no way there now. It may be this machine's, for a moment, or the network's.
+# No route at the moment: the cause may be a short fault of this machine, or the network.
 UNREACHABLE = frozenset({errno.ENETUNREACH, errno.ENETDOWN})
-FIRST_PAUSE_S = 0.02
-LAST_PAUSE_S = 0.25
-PAUSE_GROWTH = 2.0
+FIRST_DELAY_S = 0.02
+MAX_DELAY_S = 0.25
+DELAY_GROWTH = 2.0
 
 
 class FailureCounter(Protocol):
     """Counts failed system calls."""
 
     def call_failed(self, call: str, error: str) -> None:
-        """One more failure of this call, with an error number of that name."""
+        """Count a failure of this call with this errno name."""
 
 
 class UnrecoverableError(Exception):
-    """What the program needs can't be had, however often it is tried."""
+    """A required resource cannot be obtained, and retrying cannot help."""
 
 
 class TransientError(Exception):
-    """What failed may work when it is tried again, for `retry_for_s` at the most."""
+    """The operation may succeed when retried, for at most `retry_for_s`."""
 
     retry_for_s: float = math.inf
 
 
 def is_permanent(error: OSError) -> bool:
-    """Will the same call fail again whenever it is tried?"""
+    """Whether the same call will fail however often it is retried."""
     return error.errno in PERMANENT
 
 
 def is_local(error: OSError) -> bool:
-    """Did connecting fail on this machine, before the other side was asked?"""
+    """Whether connecting failed on this machine, before the remote side was contacted."""
     return error.errno in LOCAL
 
 
 def is_transient_connect_error(error: OSError) -> bool:
-    """Connecting failed: may it work in a moment, whatever the other side does?"""
+    """Whether a failed connect may soon succeed regardless of the remote side."""
     return error.errno in LOCAL or error.errno in UNREACHABLE
 
 
 def is_out_of_descriptors(error: OSError) -> bool:
-    """Has this process as many descriptors as it may have? (Not: the whole machine.)"""
+    """Whether this process has reached its descriptor limit (not that of the whole machine)."""
     return error.errno == errno.EMFILE
 
 
 def errno_name(error: OSError) -> str:
-    """The error number's name, as manual pages have it."""
+    """The symbolic errno name, as in the manual pages."""
     return errno.errorcode.get(error.errno or 0, type(error).__name__)
 
 
 class Backoff:
-    """Pauses between tries of one thing, in s: each is longer than the one before, up to a bound."""
+    """Delays between retries, in seconds, growing exponentially up to a maximum."""
 
-    def __init__(self, first_s: float = FIRST_PAUSE_S, last_s: float = LAST_PAUSE_S) -> None:
+    def __init__(self, first_s: float = FIRST_DELAY_S, max_s: float = MAX_DELAY_S) -> None:
         self._next_s = first_s
-        self._last_s = last_s
-        self.paused_s = 0.0  # all pauses so far
+        self._max_s = max_s
+        self.paused_s = 0.0  # sum of all delays so far
 
     def next_s(self) -> float:
-        """The pause before the next try."""
-        pause_s = self._next_s
-        self._next_s = min(self._last_s, pause_s * PAUSE_GROWTH)
-        self.paused_s += pause_s
-        return pause_s
+        """The delay before the next retry."""
+        delay_s = self._next_s
+        self._next_s = min(self._max_s, delay_s * DELAY_GROWTH)
+        self.paused_s += delay_s
+        return delay_s
--- a/lanemux/core/plugin.py
+++ b/lanemux/core/plugin.py
@@ -1,8 +1,8 @@
-"""The seam for what plugs into a running balancer beside its requests. No I/O and no clock.
+"""The interface of plugins, which run in a balancer beside its requests. No I/O and no clock.
 
-A plugin gets the peers' messages of its own first byte, ticks at the times it asks for, and a section of the operators'
-second address. It is a state machine: what carries its messages and sets its timer is `net/plugin_host.py`, the virtual
-clock or a model in tests.
+A plugin receives the peer messages that start with its message type byte, is ticked at the times that it requests, and
+has a section on the admin address. It is a state machine: `net/plugin_host.py`, the virtual clock or a test model
+transports its messages and sets its timer.
 """
 
 from __future__ import annotations
@@ -14,36 +14,36 @@
 
 
 class Plugin(Protocol):
-    """One of them."""
+    """A plugin."""
 
     @property
     def name(self) -> str:
-        """Of its section: `GET /admin/NAME`."""
+        """Name of its admin section: `GET /admin/NAME`."""
 
     @property
     def message_type(self) -> int:
-        """The first byte of its messages, which have no length that words have."""
+        """The first byte of its messages, whose length must not be a multiple of a peer report's."""
 
     @property
     def next_tick_ns(self) -> int:
-        """When it wants its next tick."""
+        """When it requests its next tick."""
 
     def on_message(self, sender: int, data: bytes, now: int) -> None:
-        """A peer's message."""
+        """Handle a message from a peer."""
 
     def tick(self, now: int) -> None:
-        """Time has come to `now`: at `due_ns`, or later where the process stood still."""
+        """Called at `next_tick_ns`, or later if the process was stalled."""
 
     def take_outgoing(self) -> list[tuple[int, bytes]]:
-        """What is to be sent since the last call: (peer, datagram)."""
+        """Messages to send that were produced since the last call: (peer, datagram)."""
 
     def shutdown(self, now: int) -> None:
-        """The process ends in order."""
+        """The process is shutting down in an orderly way."""
 
     def status(self, now: int) -> Mapping[str, object]:
-        """For operators."""
+        """Content of the admin section."""
 
 
 def message_type_of(data: bytes) -> int | None:
-    """Whose message this is; None for words between the decisions, and for nothing."""
+    """The message type of a datagram; None for peer reports of the decision modules, and for an empty datagram."""
     return data[0] if len(data) % REPORT_FORMAT.size else None
--- a/lanemux/core/removable_queue.py
+++ b/lanemux/core/removable_queue.py
@@ -1,4 +1,4 @@
-"""A line of those who wait, first come first, out of which anyone may go. No I/O and no clock."""
+"""A FIFO queue from which any member can be removed in constant time. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RemovableQueue(Generic[Member]):
-    """A deque whose members leave from the middle in constant time, where `deque.remove` looks through it."""
+    """A FIFO queue with removal from the middle in constant time, where `deque.remove` is linear."""
 
     def __init__(self) -> None:
         self._members: OrderedDict[Member, None] = OrderedDict()
@@ -23,23 +23,24 @@
 
     @property
     def first(self) -> Member:
-        """Who stands first; KeyError if nobody waits."""
+        """The member at the head; KeyError if the queue is empty."""
         for member in self._members:
             return member
-        raise KeyError("nobody waits")
+        raise KeyError("the queue is empty")
 
     def append(self, member: Member) -> None:
+        """Add a member at the tail."""
         self._members[member] = None
 
     def appendleft(self, member: Member) -> None:
-        """To the front, as one that has stood in it before."""
+        """Add a member at the head, for one that was in the queue before."""
         self._members[member] = None
         self._members.move_to_end(member, last=False)
 
     def popleft(self) -> Member:
-        """The first one leaves; KeyError if nobody waits."""
+        """Remove and return the member at the head; KeyError if the queue is empty."""
         return self._members.popitem(last=False)[0]
 
     def remove(self, member: Member) -> None:
-        """KeyError for one that does not wait."""
+        """Remove a member from any position; KeyError if it is not in the queue."""
         del self._members[member]
--- a/lanemux/core/source.py
+++ b/lanemux/core/source.py
@@ -1,4 +1,4 @@
-"""The seam for list sources: what tells the balancer which upstreams there are."""
+"""The interface of list sources, which tell the balancer which upstreams exist."""
 
 from __future__ import annotations
 
@@ -8,31 +8,30 @@
 
 from lanemux.core.membership import Listing, Membership
 
-ListingCallback = Callable[
-    [Listing | None], None
-]  # a listing, or None for a call that failed where lists are asked for
+# Called with a listing, or with None when a poll for the list failed.
+ListingCallback = Callable[[Listing | None], None]
 
 
 class ListSource(Protocol):
-    """One source. It tells what it hears through the `ListingCallback` it was made with, in the loop's own turns."""
+    """A source of upstream lists. It reports through the `ListingCallback` passed at creation, on the event loop."""
 
     def start_from(self, listing: Listing) -> None:
-        """The list as it was known before the start has been taken up."""
+        """The list known from before the start is in use: continue from its version, if that is this source's."""
 
     def watch(self) -> None:
-        """Tell every change from now on; harmless when that is so already."""
+        """Report every change from now on; no effect if already watching."""
 
     def unwatch(self) -> None:
-        """Stop until the next `watch`."""
+        """Stop reporting changes until the next `watch`."""
 
     def fetch(self) -> None:
-        """Tell the whole list once."""
+        """Report the whole list once."""
 
     def stop(self) -> None:
-        """The end of all its connections and tasks begins."""
+        """Begin to close all connections and tasks."""
 
     async def wait_stopped(self) -> None:
-        """Behind `stop`: nothing of it runs any more."""
+        """After `stop`: wait until all connections and tasks have ended."""
 
 
 SourceFactory = Callable[[Membership, random.Random, ListingCallback], ListSource]
--- a/lanemux/core/system.py
+++ b/lanemux/core/system.py
@@ -1,7 +1,7 @@
-"""The seam for what a process has of its machine beside the event loop: listening, files, the wall clock, its costs.
+"""Abstraction of the operating system beyond the event loop: listening sockets, files, wall clock, resource usage.
 
-What the loop itself offers (its clock, timers, connections, datagrams, signals) goes through the loop. Only this module
-may import `socket` and `time`; `tests/test_seams.py` holds that.
+Whatever the event loop offers (clock, timers, connections, datagrams, signals) is used through the loop. Only this
+module may import `socket` and `time`, which `tests/test_seams.py` enforces.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 
 from lanemux.core.address import Address
 
-# struct tcp_info of Linux: tcpi_last_data_recv, in ms, stands behind eight bytes and eleven numbers of four (tcp(7)).
+# Linux struct tcp_info: tcpi_last_data_recv, in ms, follows eight bytes and eleven 4-byte integers (tcp(7)).
 TCP_INFO_BYTES, LAST_DATA_OFFSET = 104, 52
 PEER_CLOSED_STATES = frozenset({7, 8, 9, 11})  # TCP_CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING: tcpi_state, its first byte
-FIONREAD, INT_BYTES = 0x541B, 4  # of ioctl_tty(2): how many bytes lie unread
-UNBLOCK_TRIES = 5  # of telling the kernel that a connection must not block
-READ_BYTES = 64 * 1024  # of a file at once: memory follows what is there, not what is allowed
+FIONREAD, INT_BYTES = 0x541B, 4  # ioctl_tty(2): number of unread bytes
+UNBLOCK_TRIES = 5  # attempts to make an accepted connection non-blocking
+READ_BYTES = 64 * 1024  # chunk size for files: memory use follows the actual size, not the size limit
 
 
 class Listener(Protocol):
-    """A listening socket that never blocks."""
+    """A non-blocking listening socket."""
 
     @property
     def port(self) -> int: ...
@@ -37,13 +37,13 @@
     def fileno(self) -> int: ...
 
     def accept(self) -> socket.socket:
-        """A connection for the loop; BlockingIOError when none waits, OSError when it can't be had."""
+        """Accept a connection for the loop; BlockingIOError if none is pending, OSError if accepting fails."""
 
     def close(self) -> None: ...
 
 
 class ConnectedSocket(Protocol):
-    """What is asked of a connection's socket."""
+    """The operations needed of a connection's socket."""
 
     def fileno(self) -> int: ...
 
@@ -51,58 +51,58 @@
 
 
 class System(Protocol):
-    """The machine under a balancer."""
+    """The operating system services used by a balancer."""
 
     def wall_ns(self) -> int:
-        """Unix time. It may be set, forwards and backwards."""
+        """Unix time. It may be stepped forwards or backwards."""
 
     def cpu_time_s(self) -> float:
-        """Processor time that this process has used so far."""
+        """CPU time that this process has used so far."""
 
     def peak_rss_kib(self) -> int:
-        """The most memory that this process has held so far, in KiB."""
+        """Peak resident memory of this process so far, in KiB."""
 
     def since_last_data_s(self, connection: ConnectedSocket) -> float:
-        """How long ago the last bytes came on a connection, read or not; 0 where that can't be told."""
+        """Time since the last bytes arrived on a connection, read or not; 0 if unknown."""
 
     def peer_has_closed(self, connection: ConnectedSocket) -> bool:
-        """Has the other side ended its sending, read so far or not? False where that can't be told."""
+        """Whether the peer has closed its sending side, even if unread data remains; False if unknown."""
 
     def has_unread(self, connection: ConnectedSocket) -> bool:
-        """Do bytes lie in the kernel that have not been read? True where that can't be told."""
+        """Whether the kernel holds unread bytes; True if unknown."""
 
     def sleep(self, for_s: float) -> None:
-        """Do nothing for so long. Only where no event loop runs."""
+        """Block for this long. Only for use without a running event loop."""
 
     def termination_pending(self) -> bool:
-        """Does a signal that asks for the end wait to be handled?"""
+        """Whether SIGTERM or SIGINT is pending."""
 
     def listen(self, address: Address, backlog: int) -> Listener:
-        """Listen there; port 0 takes a free one. OSError if that can't be done."""
+        """Listen on an address; port 0 picks a free one. OSError on failure."""
 
     def inherit(self, descriptor: int) -> Listener:
-        """The listening socket that the platform holds, and other processes may have too. OSError if it is none."""
+        """Use a listening socket of the platform, which other processes may share. OSError if it does not listen."""
 
     def read(self, path: str, most: int) -> bytes:
-        """The first bytes of a file, so many at most. OSError if it can't be read."""
+        """Up to `most` bytes from the start of a file. OSError if it cannot be read."""
 
     def write_atomic(self, path: str, data: bytes) -> None:
-        """The whole file anew, lasting: who reads it sees the old or the new one, also after a loss of power.
+        """Replace a file atomically and durably: readers see the old or the new content, even after a power loss.
 
-        OSError where that can't be promised; the old one is there then, or the new one that may not last."""
+        OSError if that cannot be guaranteed: the old content is then in place, or the new one, possibly not durable."""
 
     def make_directory(self, path: str) -> None:
-        """The folder, unless it is there. OSError if it can't be had."""
+        """Create a directory unless it exists. OSError on failure."""
 
     def list_directory(self, folder: str) -> list[str]:
-        """The files of a folder. OSError if it can't be read."""
+        """Names of the files in a directory. OSError if it cannot be read."""
 
     def directory_mtime_ns(self, folder: str) -> int:
-        """Another number whenever a file of the folder has been replaced. OSError if it can't be read."""
+        """A number that changes when a file in the directory is replaced. OSError if it cannot be read."""
 
 
-def _sync_folder(path: str) -> None:
-    """A renamed file lasts once its folder has been written."""
+def _sync_directory(path: str) -> None:
+    """Sync a directory: a rename is durable only after that."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -111,7 +111,7 @@
 
 
 class MachineListener:
-    """A `Listener` of the kernel's."""
+    """A `Listener` that uses a kernel socket."""
 
     def __init__(self, listening: socket.socket) -> None:
         listening.setblocking(False)
@@ -126,20 +126,20 @@
 
     def accept(self) -> socket.socket:
         accepted, _ = self._socket.accept()
-        for _ in range(UNBLOCK_TRIES):  # a connection that was accepted is not given up for it
+        for _ in range(UNBLOCK_TRIES):  # an accepted connection is not dropped because of such a failure
             with contextlib.suppress(OSError):
                 accepted.setblocking(False)
                 break
         return accepted
 
     def close(self) -> None:
-        with contextlib.suppress(OSError):  # it is closed also where `close` fails (close(2))
+        with contextlib.suppress(OSError):  # the descriptor is closed even if `close` reports an error (close(2))
             self._socket.close()
 
 
 @dataclass(frozen=True)
 class Machine:
-    """The `System` in service."""
+    """The `System` used in production."""
 
     def wall_ns(self) -> int:
         return time.time_ns()
@@ -166,10 +166,10 @@
 
     def has_unread(self, connection: ConnectedSocket) -> bool:
         try:
-            answer = fcntl.ioctl(connection.fileno(), FIONREAD, bytes(INT_BYTES))
+            unread = fcntl.ioctl(connection.fileno(), FIONREAD, bytes(INT_BYTES))
         except (OSError, ValueError):
             return True
-        return any(answer)
+        return any(unread)
 
     def sleep(self, for_s: float) -> None:
         time.sleep(for_s)
@@ -196,28 +196,28 @@
                 raise OSError(errno.EINVAL, f"descriptor {descriptor} does not listen")
             return MachineListener(inherited)
         except OSError:
-            inherited.detach()  # it stays the platform's
+            inherited.detach()  # the platform keeps the descriptor
             raise
 
     def read(self, path: str, most: int) -> bytes:
         data = bytearray()
-        with open(path, "rb") as file:  # a piece at a time: one read would ask for room for all that is allowed
-            while piece := file.read(min(READ_BYTES, most - len(data))):
-                data += piece
+        with open(path, "rb") as file:  # in chunks: a single read would allocate the maximum size
+            while chunk := file.read(min(READ_BYTES, most - len(data))):
+                data += chunk
         return bytes(data)
 
     def write_atomic(self, path: str, data: bytes) -> None:
-        fresh = f"{path}.{os.getpid()}"
+        temporary = f"{path}.{os.getpid()}"
         try:
-            with open(fresh, "wb") as file:
+            with open(temporary, "wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(fresh, path)
-            _sync_folder(os.path.dirname(path) or ".")
+            os.replace(temporary, path)
+            _sync_directory(os.path.dirname(path) or ".")
         except OSError:
             with contextlib.suppress(OSError):
-                os.unlink(fresh)
+                os.unlink(temporary)
             raise
 
     def make_directory(self, path: str) -> None:
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""Two upstreams at one address: who gets something new."""
+"""Two upstreams listed at one address: which of them gets new requests."""
 
 from __future__ import annotations
 
@@ -19,57 +19,62 @@
     return {e.upstream.id: e.upstream.state for e in entries}
 
 
-def test_the_one_that_started_later_is_there_and_the_other_gets_nothing_new() -> None:
-    addresses = AddressConflicts()
-    assert states(addresses.update([entry(1, 80), entry(2, 81)], True)) == {1: READY, 2: READY}
-    assert states(addresses.update([entry(2, 80, 5)], False)) == {2: READY, 1: DRAINING}
-    # It drains, and the row tells no start: what was told before holds.
-    assert states(addresses.update([entry(2, 80, 0, DRAINING)], False)) == {2: DRAINING}
-    # The old one is told again where it no longer is, and then where it is.
-    assert states(addresses.update([entry(1, 80)], False)) == {1: DRAINING}
-    assert states(addresses.update([entry(1, 81)], False)) == {1: READY}
+def test_the_upstream_that_started_later_displaces_the_other() -> None:
+    conflicts = AddressConflicts()
+    assert states(conflicts.update([entry(1, 80), entry(2, 81)], True)) == {1: READY, 2: READY}
+    assert states(conflicts.update([entry(2, 80, 5)], False)) == {2: READY, 1: DRAINING}
+    # The row of a draining upstream lacks the start time; the time reported earlier still holds.
+    assert states(conflicts.update([entry(2, 80, 0, DRAINING)], False)) == {2: DRAINING}
+    # The old upstream is reported at its former address again, and then at its new one.
+    assert states(conflicts.update([entry(1, 80)], False)) == {1: DRAINING}
+    assert states(conflicts.update([entry(1, 81)], False)) == {1: READY}
 
 
-def test_where_the_other_goes_the_lists_word_holds_again() -> None:
-    addresses = AddressConflicts()
-    addresses.update([entry(1, 80), entry(2, 80, 5)], True)
-    assert states(addresses.update([entry(2, 80, state=GONE)], False)) == {2: GONE, 1: READY}
-    addresses.update([entry(2, 80, 5)], False)
-    assert states(addresses.update([entry(2, 82, 5)], False)) == {2: READY, 1: READY}
-    addresses.update([entry(2, 80, 5)], False)
-    assert states(addresses.update([entry(1, 80)], True)) == {1: READY}  # a whole list without the other
+def test_an_upstream_is_restored_once_the_other_leaves_its_address() -> None:
+    conflicts = AddressConflicts()
+    conflicts.update([entry(1, 80), entry(2, 80, 5)], True)
+    assert states(conflicts.update([entry(2, 80, state=GONE)], False)) == {2: GONE, 1: READY}
+    conflicts.update([entry(2, 80, 5)], False)
+    assert states(conflicts.update([entry(2, 82, 5)], False)) == {2: READY, 1: READY}
+    conflicts.update([entry(2, 80, 5)], False)
+    assert states(conflicts.update([entry(1, 80)], True)) == {1: READY}  # a whole list without the other
 
 
-def test_where_nothing_tells_which_is_later_both_stand() -> None:
-    addresses = AddressConflicts()
-    assert states(addresses.update([entry(1, 80), entry(2, 80)], True)) == {1: READY, 2: READY}
-    assert states(addresses.update([entry(1, 80, 7), entry(2, 80, 7)], False)) == {1: READY, 2: READY}
+def test_both_stay_where_start_times_do_not_decide() -> None:
+    conflicts = AddressConflicts()
+    assert states(conflicts.update([entry(1, 80), entry(2, 80)], True)) == {1: READY, 2: READY}
+    assert states(conflicts.update([entry(1, 80, 7), entry(2, 80, 7)], False)) == {1: READY, 2: READY}
 
 
-def test_after_any_history_it_is_as_if_all_were_told_at_once() -> None:
+def test_any_history_gives_the_same_result_as_one_full_list() -> None:
     rng = random.Random(1)
     for _ in range(300):
-        addresses, told, claims, seen = AddressConflicts(), dict[int, Entry](), dict[int, int](), dict[int, api.State]()
+        conflicts, listed, started, actual = (
+            AddressConflicts(),
+            dict[int, Entry](),
+            dict[int, int](),
+            dict[int, api.State](),
+        )
         for _ in range(30):
-            news = {
+            changes = {
                 n: entry(n, rng.randrange(4), rng.randrange(4), rng.choice((READY, READY, DRAINING, GONE)))
                 for n in rng.sample(range(6), rng.randint(0, 3))
             }
             whole = rng.random() < 0.2
             if whole:
-                told, seen = {n: told[n] for n in told if n in news}, {}
-            for n, e in news.items():
+                listed, actual = {n: listed[n] for n in listed if n in changes}, {}
+            for n, e in changes.items():
                 if e.upstream.state is GONE:
-                    told.pop(n, None)
+                    listed.pop(n, None)
                     continue
-                stays = n in told and told[n].address == e.address
-                claims[n] = max(claims[n] if stays else 0, e.upstream.started_ns)
-                told[n] = e
-            seen.update(states(addresses.update(news.values(), whole)))
-            seen = {n: s for n, s in seen.items() if s is not GONE}
-            assert seen == {
+                stays = n in listed and listed[n].address == e.address
+                started[n] = max(started[n] if stays else 0, e.upstream.started_ns)
+                listed[n] = e
+            actual.update(states(conflicts.update(changes.values(), whole)))
+            actual = {n: s for n, s in actual.items() if s is not GONE}
+            assert actual == {
                 n: DRAINING
-                if any(told[o].address == e.address and claims[o] > claims[n] for o in told)
+                if any(listed[o].address == e.address and started[o] > started[n] for o in listed)
                 else e.upstream.state
-                for n, e in told.items()
+                for n, e in listed.items()
             }
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -1,4 +1,4 @@
-"""Upstreams out by hand, and the front's states: pure."""
+"""Cordons, readiness states and request counters: pure unit tests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lanemux.core.tally import Tally
 
 SECOND = 1_000_000_000
-UNIX = 1_700_000_000 * SECOND  # what the module's clock is behind Unix time
+UNIX = 1_700_000_000 * SECOND  # offset from the module's clock to Unix time
 COLD = 8 * SECOND
 
 
@@ -21,45 +21,47 @@
     return Entry(api.Upstream(7, state, started_ns=started_ns), ("127.0.0.1", 1), host)
 
 
-def seen(cordons: Cordons, told: Entry, now_ns: int) -> tuple[api.State, int]:
-    upstream = cordons.effective_entries([told], now_ns)[0].upstream
+def effective(cordons: Cordons, listed: Entry, now_ns: int) -> tuple[api.State, int]:
+    upstream = cordons.effective_entries([listed], now_ns)[0].upstream
     return upstream.state, upstream.started_ns
 
 
-def test_who_is_out_drains_whatever_the_list_says_and_comes_back_cold() -> None:
+def test_a_cordoned_upstream_drains_whatever_the_list_says_and_returns_cold() -> None:
     cordons = Cordons(UNIX, COLD)
     assert cordons.apply(cordons.new_record("a", True, UNIX + 10 * SECOND))
-    assert seen(cordons, entry(), 11 * SECOND) == (api.State.DRAINING, 0)
-    assert seen(cordons, entry(started_ns=11 * SECOND), 12 * SECOND)[0] is api.State.DRAINING  # it was restarted
-    assert seen(cordons, entry("b"), 12 * SECOND) == (api.State.READY, 0)
-    assert seen(cordons, entry(state=api.State.GONE), 12 * SECOND)[0] is api.State.GONE
+    assert effective(cordons, entry(), 11 * SECOND) == (api.State.DRAINING, 0)
+    assert (
+        effective(cordons, entry(started_ns=11 * SECOND), 12 * SECOND)[0] is api.State.DRAINING
+    )  # restarted while cordoned
+    assert effective(cordons, entry("b"), 12 * SECOND) == (api.State.READY, 0)
+    assert effective(cordons, entry(state=api.State.GONE), 12 * SECOND)[0] is api.State.GONE
     assert cordons.apply(cordons.new_record("a", False, UNIX + 20 * SECOND))
-    assert seen(cordons, entry(), 21 * SECOND) == (api.State.READY, 20 * SECOND)
-    assert seen(cordons, entry(started_ns=23 * SECOND), 24 * SECOND) == (api.State.READY, 23 * SECOND)
-    assert seen(cordons, entry(), 28 * SECOND) == (api.State.READY, 0)  # warm again
+    assert effective(cordons, entry(), 21 * SECOND) == (api.State.READY, 20 * SECOND)
+    assert effective(cordons, entry(started_ns=23 * SECOND), 24 * SECOND) == (api.State.READY, 23 * SECOND)
+    assert effective(cordons, entry(), 28 * SECOND) == (api.State.READY, 0)  # warm again
     cordons.discard_expired(29 * SECOND)
     assert not cordons.is_cordoned("a") and cordons.has_room("a")
 
 
-def test_the_later_word_holds_in_whatever_order_and_however_often_words_are_heard() -> None:
-    words = [CordonRecord("a", out, at) for at, out in enumerate([True, False, True, True, False, True], 1)]
+def test_the_latest_record_wins_in_any_order_and_with_duplicates() -> None:
+    records = [CordonRecord("a", cordoned, at) for at, cordoned in enumerate([True, False, True, True, False, True], 1)]
     for seed in range(200):
-        mixed = words * 2
-        random.Random(seed).shuffle(mixed)
+        shuffled = records * 2
+        random.Random(seed).shuffle(shuffled)
         cordons = Cordons(0, COLD)
-        for word in mixed:
-            cordons.apply(word)
+        for record in shuffled:
+            cordons.apply(record)
         assert cordons.is_cordoned("a")
 
 
-def test_a_wall_clock_that_was_set_back_does_not_undo_a_call() -> None:
+def test_a_wall_clock_set_back_does_not_prevent_an_uncordon() -> None:
     cordons = Cordons(UNIX, COLD)
     cordons.apply(cordons.new_record("a", True, UNIX + 100 * SECOND))
     assert cordons.apply(cordons.new_record("a", False, UNIX))
     assert not cordons.is_cordoned("a")
 
 
-def test_the_table_is_bounded_and_a_call_back_finds_room() -> None:
+def test_the_table_is_bounded_and_an_uncordon_always_fits() -> None:
     cordons = Cordons(0, COLD)
     for i in range(MAX_CORDONS):
         assert cordons.apply(CordonRecord(f"h{i}", True, 1))
@@ -82,7 +84,7 @@
         ("quiesce end finish_quiesce", Phase.ENDING),
     ],
 )
-def test_the_front_changes_only_in_legal_ways(calls: str, phase: Phase) -> None:
+def test_readiness_allows_only_valid_transitions(calls: str, phase: Phase) -> None:
     readiness = Readiness()
     for call in calls.split():
         getattr(readiness, call)()
@@ -90,7 +92,7 @@
     assert readiness.accepting is (phase is Phase.READY)
 
 
-def test_ends_are_counted_by_class_and_kind() -> None:
+def test_results_are_counted_by_class_and_kind() -> None:
     tally = Tally(["read", "pay"])
     for status in (200, 200, 503, 429, 504, 500):
         tally.ended("read", status)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -98,7 +98,7 @@
     assert again.entries == first.entries
     gone = reader.read({"seq": 3, "whole": False, "hosts": [entry("s0", health="removed", dial="")]})
     assert [e.upstream.state for e in gone.entries] == [api.State.GONE]
-    assert not reader.read({"seq": 4, "whole": True, "hosts": []}).entries and not reader._last
+    assert not reader.read({"seq": 4, "whole": True, "hosts": []}).entries and not reader._entries
 
 
 def test_no_upstream_starts_in_the_future() -> None:
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -1,4 +1,7 @@
-"""Clock, sockets, files and chance go through the seams: what service runs, a virtual loop can run unchanged."""
+"""Production code uses clock, sockets, files and randomness only through abstractions.
+
+So a virtual event loop can run it unchanged.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,10 @@
 import lanemux
 
 ROOT = Path(lanemux.__file__).parent
-SEAMS = {"core/system.py"}  # the only module that touches the machine itself
-# Starts the process: reads the environment, and has no loop yet.
-STARTERS = {"net/daemon.py": {"os", "signal"}}
-BARRED = {
+EXEMPT = {"core/system.py"}  # the only module that accesses the operating system directly
+# Starts the process: reads the environment, before there is an event loop.
+STARTUP_IMPORTS = {"net/daemon.py": {"os", "signal"}}
+FORBIDDEN = {
     "time",
     "socket",
     "select",
@@ -27,7 +30,7 @@
     "secrets",
     "uuid",
 }
-CHANCE = {"Random"}  # a generator that is handed its seed; all else of `random` draws from the process's own
+ALLOWED_RANDOM = {"Random"}  # a generator with an explicit seed; everything else in `random` uses the global generator
 
 
 def service_modules() -> list[Path]:
@@ -35,10 +38,10 @@
     return [p for d in ("core", "net", "etcd") for p in sorted((ROOT / d).glob("*.py"))] + named
 
 
-def faults(text: str, name: str) -> list[str]:
-    """What a module does past the seams, a line each."""
+def violations(text: str, name: str) -> list[str]:
+    """Violations in a module's source, one line each."""
     found: list[str] = []
-    if name in SEAMS:
+    if name in EXEMPT:
         return found
     tree = ast.parse(text)
     typing_only = {
@@ -52,29 +55,29 @@
             continue
         if isinstance(node, ast.Import | ast.ImportFrom):
             modules = [node.module or ""] if isinstance(node, ast.ImportFrom) else [a.name for a in node.names]
-            barred = {m.partition(".")[0] for m in modules} & (BARRED - STARTERS.get(name, set()))
-            found += [f"{name}:{node.lineno}: imports {m}" for m in sorted(barred)]
+            forbidden = {m.partition(".")[0] for m in modules} & (FORBIDDEN - STARTUP_IMPORTS.get(name, set()))
+            found += [f"{name}:{node.lineno}: imports {m}" for m in sorted(forbidden)]
             if isinstance(node, ast.ImportFrom) and node.module == "random":
                 found.append(f"{name}:{node.lineno}: imports from random")
         elif isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random":
-            if node.attr not in CHANCE:
+            if node.attr not in ALLOWED_RANDOM:
                 found.append(f"{name}:{node.lineno}: random.{node.attr}")
         elif isinstance(node, ast.Call):
-            found += _call_faults(node, name)
+            found += _call_violations(node, name)
     return found
 
 
-def _call_faults(node: ast.Call, name: str) -> list[str]:
+def _call_violations(node: ast.Call, name: str) -> list[str]:
     if isinstance(node.func, ast.Name) and node.func.id == "open":
         return [f"{name}:{node.lineno}: opens a file"]
     seedless = isinstance(node.func, ast.Attribute) and node.func.attr == "Random" and not node.args
     return [f"{name}:{node.lineno}: a generator without a seed"] if seedless else []
 
 
-def test_service_touches_the_machine_only_through_the_seams() -> None:
+def test_production_code_accesses_the_system_only_through_abstractions() -> None:
     modules = service_modules()
     assert len(modules) > 15
-    assert [f for p in modules for f in faults(p.read_text(), p.relative_to(ROOT).as_posix())] == []
+    assert [f for p in modules for f in violations(p.read_text(), p.relative_to(ROOT).as_posix())] == []
 
 
 @pytest.mark.parametrize(
@@ -91,5 +94,5 @@
         "import asyncio, selectors",
     ],
 )
-def test_each_way_past_the_seams_is_found(text: str) -> None:
-    assert len(faults(text, "net/x.py")) == 1
+def test_each_kind_of_violation_is_found(text: str) -> None:
+    assert len(violations(text, "net/x.py")) == 1
