--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     import argparse
 
-    from lanemux.core.source import MakeSource
+    from lanemux.core.source import SourceFactory
     from lanemux.core.system import System
     from lanemux.net.daemon import Extension, MakeModule
     from lanemux.net.node import MakeConnectionAdmission, Node
@@ -83,7 +83,7 @@
     return make(node, system, os.environ.get("TMPDIR"))
 
 
-def _list_source(operators: OperatorsFile) -> MakeSource | None:
+def _list_source(operators: OperatorsFile) -> SourceFactory | None:
     """Return the upstream list's source that the operators' file configures; None: platform discovery."""
     etcd = operators.etcd
     if etcd is None:
@@ -129,7 +129,7 @@
 
     options = _parse_options("serve", arguments)
 
-    def read() -> MakeSource | None:
+    def read() -> SourceFactory | None:
         operators = load(options.operators)
         for name in ("storm", "fleet", "log"):
             if getattr(operators, name) != getattr(initial, name):
@@ -150,7 +150,7 @@
 
 def _load_with_retries(path: str | None) -> OperatorsFile:
     """Load the operators' file, retrying temporary read errors. Raises ValidationError if the file is unusable."""
-    from lanemux.core.failures import MomentaryError
+    from lanemux.core.failures import TransientError
     from lanemux.core.system import Machine
     from lanemux.net.startup import wait_for
     from lanemux.operators import load
@@ -161,7 +161,7 @@
             return load(path)
         except ValidationError as error:
             if error.temporary:
-                raise MomentaryError(str(error)) from None
+                raise TransientError(str(error)) from None
             raise
 
     return wait_for("operators' file", read_once, Machine())
--- a/lanemux/core/plugin.py
+++ b/lanemux/core/plugin.py
@@ -1,8 +1,8 @@
-"""The seam for what plugs into a running balancer beside its requests. No I/O and no clock.
+"""The interface of plugins, which run in a balancer beside its requests. No I/O and no clock.
 
-A plugin gets the peers' messages of its own first byte, ticks at the times it asks for, and a section of the operators'
-second address. It is a state machine: what carries its messages and sets its timer is `net/plugin_host.py`, the virtual
-clock or a model in tests.
+A plugin receives the peer messages that start with its message type byte, is ticked at the times that it requests, and
+has a section on the admin address. It is a state machine: `net/plugin_host.py`, the virtual clock or a test model
+transports its messages and sets its timer.
 """
 
 from __future__ import annotations
@@ -10,40 +10,40 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from lanemux.core.words import FORM
+from lanemux.core.peer_report import REPORT_FORMAT
 
 
 class Plugin(Protocol):
-    """One of them."""
+    """A plugin."""
 
     @property
     def name(self) -> str:
-        """Of its section: `GET /admin/NAME`."""
+        """Name of its admin section: `GET /admin/NAME`."""
 
     @property
-    def first(self) -> int:
-        """The first byte of its messages, which have no length that words have."""
+    def message_type(self) -> int:
+        """The first byte of its messages, whose length must not be a multiple of a peer report's."""
 
     @property
-    def due_ns(self) -> int:
-        """When it wants its next tick."""
+    def next_tick_ns(self) -> int:
+        """When it requests its next tick."""
 
-    def heard(self, sender: int, data: bytes, now: int) -> None:
-        """A peer's message."""
+    def on_message(self, sender: int, data: bytes, now: int) -> None:
+        """Handle a message from a peer."""
 
     def tick(self, now: int) -> None:
-        """Time has come to `now`: at `due_ns`, or later where the process stood still."""
+        """Called at `next_tick_ns`, or later if the process was stalled."""
 
-    def take_out(self) -> list[tuple[int, bytes]]:
-        """What is to be sent since the last call: (peer, datagram)."""
+    def take_outgoing(self) -> list[tuple[int, bytes]]:
+        """Messages to send that were produced since the last call: (peer, datagram)."""
 
-    def leave(self, now: int) -> None:
-        """The process ends in order."""
+    def shutdown(self, now: int) -> None:
+        """The process is shutting down in an orderly way."""
 
-    def section(self, now: int) -> Mapping[str, object]:
-        """For operators."""
+    def status(self, now: int) -> Mapping[str, object]:
+        """Content of the admin section."""
 
 
-def first_byte(data: bytes) -> int | None:
-    """Whose message this is; None for words between the decisions, and for nothing."""
-    return data[0] if len(data) % FORM.size else None
+def message_type_of(data: bytes) -> int | None:
+    """The message type of a datagram; None for peer reports of the decision modules, and for an empty datagram."""
+    return data[0] if len(data) % REPORT_FORMAT.size else None
--- a/lanemux/net/daemon.py
+++ b/lanemux/net/daemon.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from lanemux.core.clock import now_ns
-from lanemux.core.failures import Backoff, Unobtainable
+from lanemux.core.failures import Backoff, UnrecoverableError
 from lanemux.core.system import Machine, System
 from lanemux.eventloop.log_handler import NonBlockingHandler
 from lanemux.eventloop.loop import EventLoop
@@ -91,7 +91,7 @@
     """Run one balancer on the running loop until SIGTERM or SIGINT has ended it.
 
     `on_node_created` is called with the node before it starts. `stages` holds the start's stages so far, and
-    `stop_request` records those signals. Raises Unobtainable if the listening address can never be bound."""
+    `stop_request` records those signals. Raises UnrecoverableError if the listening address can never be bound."""
     system = system or Machine()
     stages = stages or Stages(system)
     stop = asyncio.Event()
@@ -117,7 +117,7 @@
     try:
         if extension is not None:
             extension.start()
-        if await _start(node, readiness_delay_s(config.cores, system.spent_s()), stop):
+        if await _start(node, readiness_delay_s(config.cores, system.cpu_time_s()), stop):
             stages.complete("list and sockets")
             log.info(
                 "%s: started: %s; %d balancers, %d upstreams",
@@ -162,7 +162,7 @@
     if starting.done():
         try:
             await starting
-        except Unobtainable:
+        except UnrecoverableError:
             node.close()
             raise
         return True
@@ -235,7 +235,7 @@
     except Interrupted:
         log.info("ended by a signal during the start")
         return 0
-    except (BadConfig, Unobtainable) as error:
+    except (BadConfig, UnrecoverableError) as error:
         print(f"lanemux: {error}", file=sys.stderr)
         return UNUSABLE_STATUS
 
@@ -268,11 +268,11 @@
         try:
             _run_on(loop, run())
             return 0
-        except Unobtainable as error:
-            raise Unobtainable(f"{name}: {error}") from error
+        except UnrecoverableError as error:
+            raise UnrecoverableError(f"{name}: {error}") from error
         except Exception:
             log.exception("%s: failed", name)
-        if stop_request.received or system.told_to_end():
+        if stop_request.received or system.termination_pending():
             return 0
         log.warning("%s: restarting", name)
         system.sleep(backoff.next_s())
--- a/lanemux/net/discovery.py
+++ b/lanemux/net/discovery.py
@@ -11,7 +11,7 @@
 from lanemux.core.address import Address
 from lanemux.core.clock import now_ns
 from lanemux.core.membership import BadList, Listing, Membership
-from lanemux.core.source import Heard
+from lanemux.core.source import ListingCallback
 from lanemux.net.http import Message, read_json, write_request
 from lanemux.net.upstream import Exchange, Pool, PoolManager
 
@@ -45,7 +45,7 @@
     version, whole = raw.get("seq"), raw.get("whole")
     if not isinstance(version, int) or not isinstance(whole, bool):
         raise BadList("no seq or whole")
-    return Listing(version, whole, membership.take(raw["hosts"], whole, received_ns, current), told_ns=received_ns)
+    return Listing(version, whole, membership.apply(raw["hosts"], whole, received_ns, current), received_ns=received_ns)
 
 
 class RegistryClient:
@@ -86,7 +86,7 @@
     """A list source on platform discovery. Pushed lists are always watched; else the module subscribes and fetches."""
 
     def __init__(
-        self, address: Address, membership: Membership, pushed: bool, rng: random.Random, on_listing: Heard
+        self, address: Address, membership: Membership, pushed: bool, rng: random.Random, on_listing: ListingCallback
     ) -> None:
         self._membership = membership
         self._client = RegistryClient(address, membership)
@@ -106,7 +106,7 @@
         self._watch_started_s = 0.0  # loop time at which the last watch call started
         self._immediate_answers = 0  # immediate answers in a row
 
-    def take_known(self, listing: Listing) -> None:
+    def start_from(self, listing: Listing) -> None:
         self._version = listing.version
 
     def watch(self) -> None:
@@ -192,7 +192,7 @@
             self._fetch_call.abandon()
         self._client.close()
 
-    async def stopped(self) -> None:
+    async def wait_stopped(self) -> None:
         """Returns immediately: calls to discovery are not tasks."""
 
     def _fetched(self, listing: Listing | None) -> None:
--- a/lanemux/net/frontend.py
+++ b/lanemux/net/frontend.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from lanemux.core.readiness import AWAY_S, EASE_S, Phase, Readiness
+from lanemux.core.readiness import QUIESCE_S, QUIESCE_SETTLE_S, Phase, Readiness
 from lanemux.net.config import Config
 from lanemux.net.server import Server
 
@@ -33,12 +33,12 @@
     @property
     def ready(self) -> bool:
         """Should clients connect to this balancer?"""
-        return self.readiness.open and self._loop.time() >= self._not_ready_until_s
+        return self.readiness.accepting and self._loop.time() >= self._not_ready_until_s
 
     @property
     def refusing(self) -> bool:
         """Are requests refused at once?"""
-        return self.readiness.phase is Phase.AWAY
+        return self.readiness.phase is Phase.QUIESCED
 
     def delay_readiness(self, for_s: float) -> None:
         """Report not ready for this long from now on, whatever the phase."""
@@ -59,12 +59,12 @@
 
     async def _send_away(self) -> None:
         started_s = self._loop.time()
-        await asyncio.sleep(EASE_S)
+        await asyncio.sleep(QUIESCE_SETTLE_S)
         while True:
             elapsed_s = self._loop.time() - started_s
-            await self.server.close_unused(MIN_UNUSED_S if elapsed_s < AWAY_S - MIN_UNUSED_S else 0.0)
-            if elapsed_s >= AWAY_S:
-                self.readiness.away()
+            await self.server.close_unused(MIN_UNUSED_S if elapsed_s < QUIESCE_S - MIN_UNUSED_S else 0.0)
+            if elapsed_s >= QUIESCE_S:
+                self.readiness.finish_quiesce()
             await asyncio.sleep(SEND_AWAY_CHECK_S)
 
     def resume(self) -> bool:
@@ -73,7 +73,7 @@
             log.info("%s: back to work", self._config.name)
             self.server.draining = False
             self.stop()
-        return self.readiness.open
+        return self.readiness.accepting
 
     def stop(self) -> None:
         """Stop sending clients away."""
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -10,7 +10,7 @@
 
 from lanemux import interface as api
 from lanemux.core.clock import now_ns
-from lanemux.core.source import MakeSource
+from lanemux.core.source import SourceFactory
 from lanemux.core.system import Machine, System
 from lanemux.core.tally import Tally
 from lanemux.net.admission import ConnectionAdmission
@@ -70,7 +70,7 @@
         self,
         config: Config,
         module: Module,
-        source: MakeSource | None = None,
+        source: SourceFactory | None = None,
         system: System | None = None,
         admission: MakeConnectionAdmission | None = None,
     ) -> None:
@@ -114,7 +114,7 @@
         """Load the cached list of upstreams, then listen for clients; returns the port.
 
         Readiness is reported only after `readiness_delay_s`. Retries until the listening address can be bound; raises
-        Unobtainable if it never can be."""
+        UnrecoverableError if it never can be."""
         self.frontend.delay_readiness(readiness_delay_s)
         self.upstream_set.start()
         await self._open_peers()
@@ -199,7 +199,7 @@
                 log.warning("drain timed out with %d requests open", len(self._active_requests))
         await self.frontend.flush(end)
         self.close()
-        await self.upstream_set.source.stopped()
+        await self.upstream_set.source.wait_stopped()
         await self._hub.wait_for_cancelled()
         await asyncio.sleep(0)  # closed transports release their sockets in the next loop iteration
 
@@ -256,12 +256,12 @@
 
     def _timer_fired(self, name: str) -> None:
         self._module_timers.pop(name, None)
-        self.feed(api.Wake(name))
+        self.feed(api.TimerFired(name))
 
     def _current_state(self, now: int) -> list[api.Event]:
         """The events that restore the state of a module that has failed: active requests and the full list."""
-        requests = {r.id: api.Held(r.sends, r.exchange is not None) for r in self._active_requests.values()}
-        return [api.Truth(requests), self.upstream_set.full_update(now)]
+        requests = {r.id: api.HeldRequest(r.sends, r.exchange is not None) for r in self._active_requests.values()}
+        return [api.Resync(requests), self.upstream_set.full_update(now)]
 
     def _execute_or_report(self, action: api.Action) -> None:
         """Execute an action; an exception in it affects no other action, and the request's timer still runs."""
@@ -283,7 +283,7 @@
                 self._cancel(action)
             case api.Probe():
                 self._probes.begin(action.upstream)
-            case api.Tell():
+            case api.SendToPeer():
                 self._peers.send(action.data, action.peer)
             case api.CloseIdle():
                 if (pool := self._hub.pools.get(action.upstream)) is not None:
@@ -298,7 +298,7 @@
             case api.SetTimer():
                 due = (self._module_runner.decided_ns + action.delay_ns) / SECOND
                 self._module_timers[action.name] = self._loop.call_at(due, self._timer_fired, action.name)
-            case api.Note():
+            case api.WriteLog():
                 log.info("module: %s", action.text)
             case _:
                 assert_never(action)
@@ -421,7 +421,9 @@
             or end <= now
             or attempt_number >= self._limits.max_attempts
         ):
-            self.feed(api.Outcome(action.request, attempt_number, action.upstream, api.Result.MOOT, 0, active is None))
+            self.feed(
+                api.Outcome(action.request, attempt_number, action.upstream, api.Result.NOT_SENT, 0, active is None)
+            )
             return
         active.exchange = Exchange(
             pool,
@@ -482,7 +484,7 @@
             active.client.begin_stream(
                 [(k, v) for k, v in head.end_to_end() if k != b"srv-load"], head.length, writable
             )
-            self.feed(api.AnswerBegun(active.id, attempt_number, upstream, active.last_progress_ns - sent_ns))
+            self.feed(api.ResponseStarted(active.id, attempt_number, upstream, active.last_progress_ns - sent_ns))
             return pass_on
 
         return on_start
@@ -503,7 +505,7 @@
         No first byte may go there, even if the connection is established by then."""
         for active in list(self._active_requests.values()):
             if active.exchange is not None and active.exchange.target_stale:
-                active.exchange.finish(api.Result.MOOT)
+                active.exchange.finish(api.Result.NOT_SENT)
 
     def _on_peer_message(self, sender: int, data: bytes) -> None:
         """Queue a peer's message for the next batch of events, or for a short timer if no other event comes first.
--- a/lanemux/net/plugin_host.py
+++ b/lanemux/net/plugin_host.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from lanemux.core.clock import now_ns
-from lanemux.core.plugin import Plugin, first_byte
+from lanemux.core.plugin import Plugin, message_type_of
 
 log = logging.getLogger(__name__)
 
@@ -28,9 +28,9 @@
 
     def add(self, plugin: Plugin) -> None:
         """Add a plugin; raises ValueError if another one has the same first byte or name."""
-        if plugin.first in self._plugins or plugin.name in self.sections:
+        if plugin.message_type in self._plugins or plugin.name in self.sections:
             raise ValueError(f"{plugin.name}: another plugin has the same first byte or name")
-        self._plugins[plugin.first] = plugin
+        self._plugins[plugin.message_type] = plugin
         self._send_and_schedule(plugin)
 
     @property
@@ -41,24 +41,24 @@
     def section(self, name: str) -> Mapping[str, object] | None:
         """A plugin's section of the admin interface; None: there is no plugin of that name."""
         plugin = self.sections.get(name)
-        return None if plugin is None else plugin.section(now_ns())
+        return None if plugin is None else plugin.status(now_ns())
 
     def receive(self, sender: int, data: bytes) -> bool:
         """Deliver a peer's message to its plugin; returns False if it is for the decision module.
 
         A message that belongs to no plugin is ignored."""
-        first = first_byte(data)
+        first = message_type_of(data)
         if first is None:
             return False
         plugin = self._plugins.get(first)
         if plugin is not None and not self._closed:
-            self._run(plugin, lambda now: plugin.heard(sender, data, now))
+            self._run(plugin, lambda now: plugin.on_message(sender, data, now))
         return True
 
     def leave(self) -> None:
         """Tell the plugins that the process shuts down gracefully."""
         for plugin in self._plugins.values():
-            self._run(plugin, plugin.leave)
+            self._run(plugin, plugin.shutdown)
 
     def close(self) -> None:
         """Stop sending, and cancel all timers."""
@@ -78,17 +78,17 @@
         self._send_and_schedule(plugin)
 
     def _send_and_schedule(self, plugin: Plugin) -> None:
-        for peer, data in plugin.take_out():
+        for peer, data in plugin.take_outgoing():
             self._send(data, peer)
-        due, known = plugin.due_ns, self._timers.get(plugin.first)
+        due, known = plugin.next_tick_ns, self._timers.get(plugin.message_type)
         if self._closed or (known is not None and known[0] == due):
             return
         if known is not None:
             known[1].cancel()
         # A due time that does not advance must not starve the event loop: wait at least 1 ms.
         at = max(due, now_ns() + SECOND // 1000)
-        self._timers[plugin.first] = due, asyncio.get_running_loop().call_at(at / SECOND, self._tick, plugin)
+        self._timers[plugin.message_type] = due, asyncio.get_running_loop().call_at(at / SECOND, self._tick, plugin)
 
     def _tick(self, plugin: Plugin) -> None:
-        del self._timers[plugin.first]
+        del self._timers[plugin.message_type]
         self._run(plugin, plugin.tick)
--- a/lanemux/net/stages.py
+++ b/lanemux/net/stages.py
@@ -16,7 +16,7 @@
 
     def complete(self, name: str) -> None:
         """Record the end of a stage."""
-        self._completed.append((name, self._system.spent_s()))
+        self._completed.append((name, self._system.cpu_time_s()))
 
     def summary(self) -> str:
         """Processor time of each stage, in ms, and peak memory so far, in MiB."""
@@ -28,7 +28,7 @@
 
     def final_summary(self) -> str:
         """Total processor time of the process, in s, and its peak memory."""
-        return f"{self._system.spent_s():.2f} s of processor; {self._peak_memory()}"
+        return f"{self._system.cpu_time_s():.2f} s of processor; {self._peak_memory()}"
 
     def _peak_memory(self) -> str:
-        return f"{self._system.most_kib() / KIB:.1f} MiB at most"
+        return f"{self._system.peak_rss_kib() / KIB:.1f} MiB at most"
--- a/lanemux/net/upstream.py
+++ b/lanemux/net/upstream.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from lanemux.core.address import Address
-from lanemux.core.failures import Backoff, FailureCounter, is_local, may_pass_soon, name_of
+from lanemux.core.failures import Backoff, FailureCounter, errno_name, is_local, is_transient_connect_error
 from lanemux.interface import Result
 from lanemux.net.http import MAX_RESPONSE, Message, MessageReader
 
@@ -95,7 +95,7 @@
             self.pool.manager.track_connect(self._connect_task)
 
     def _on_timeout(self) -> None:
-        self.finish(Result.MOOT if self._failed_locally and self.waiting else Result.TIMEOUT)
+        self.finish(Result.NOT_SENT if self._failed_locally and self.waiting else Result.TIMEOUT)
 
     def retry_connect(self) -> None:
         """Nothing was sent, for a local reason: send the request on a new connection after a short pause."""
@@ -137,9 +137,9 @@
                 self.local_delay_s = attempt_started_s - started_s if self._failed_locally else 0.0
                 return
             except OSError as error:
-                if isinstance(error, TimeoutError) or not may_pass_soon(error):
+                if isinstance(error, TimeoutError) or not is_transient_connect_error(error):
                     raise
-                manager.counter.call_failed("connection to an upstream", name_of(error))
+                manager.counter.call_failed("connection to an upstream", errno_name(error))
                 self._failed_locally = is_local(error)
                 if not self._failed_locally and loop.time() >= started_s + manager.connect_timeout_s:
                     raise
--- a/lanemux/net/upstream_set.py
+++ b/lanemux/net/upstream_set.py
@@ -8,11 +8,11 @@
 
 from lanemux import interface as api
 from lanemux.core.address import Address
-from lanemux.core.addresses import Addresses
+from lanemux.core.address_conflicts import AddressConflicts
 from lanemux.core.clock import now_ns
-from lanemux.core.cordons import Cordons, Word
+from lanemux.core.cordons import CordonRecord, Cordons
 from lanemux.core.membership import BadList, Entry, Listing, Membership
-from lanemux.core.source import Heard, ListSource, MakeSource
+from lanemux.core.source import ListingCallback, ListSource, SourceFactory
 from lanemux.core.system import System
 from lanemux.net.config import Config
 from lanemux.net.discovery import Discovery, read_listing
@@ -33,7 +33,7 @@
         config: Config,
         hub: PoolManager,
         system: System,
-        source: MakeSource | None,
+        source: SourceFactory | None,
         on_update: Callable[[api.ListUpdate], None],
         on_targets_changed: Callable[[], None],
     ) -> None:
@@ -41,15 +41,15 @@
         self._on_update, self._on_targets_changed = on_update, on_targets_changed
         offset_ns = system.wall_ns() - now_ns()
         self.membership = Membership(offset_ns)  # the rows as last received
-        self._addresses = Addresses()
+        self._addresses = AddressConflicts()
         self._cordons = Cordons(offset_ns, config.settings.rules.cold_ns)
-        self.persist_cordon: Callable[[Word], bool] = lambda word: True  # True if stored for the other process
+        self.persist_cordon: Callable[[CordonRecord], bool] = lambda word: True  # True if stored for the other process
         self.source = (source or self._make_discovery)(
             self.membership, random.Random(config.seed + 1), self.apply_listing
         )
         self.pending_source: ListSource | None = None  # replaces `source` with its first full list
 
-    def _make_discovery(self, membership: Membership, rng: random.Random, on_listing: Heard) -> ListSource:
+    def _make_discovery(self, membership: Membership, rng: random.Random, on_listing: ListingCallback) -> ListSource:
         return Discovery(self._config.discovery, membership, self._config.settings.discovery_push, rng, on_listing)
 
     def start(self) -> None:
@@ -61,13 +61,13 @@
             except BadList as error:  # the cached list may be outdated anyway: an unreadable one is ignored
                 log.warning("list: the cached list is ignored: %.120s", error)
             else:
-                self.source.take_known(listing)
+                self.source.start_from(listing)
                 entries = [e.upstream for e in self._apply(listing)]
         self._on_update(api.ListUpdate(api.ListKind.CACHED, entries))
 
     def expire_cordons(self) -> None:
         """Forget cordons that were lifted so long ago that they have no effect any more; called periodically."""
-        self._cordons.forget(now_ns())
+        self._cordons.discard_expired(now_ns())
 
     # -- the source --
 
@@ -76,7 +76,7 @@
         if isinstance(self.source, Discovery):
             self.source.move(address)
 
-    def replace_source(self, make: MakeSource | None) -> None:
+    def replace_source(self, make: SourceFactory | None) -> None:
         """Switch to another source (None: platform discovery) once it has delivered its first full list.
 
         Until then the old source stays in effect, so a new one that never answers changes nothing."""
@@ -105,28 +105,28 @@
     @property
     def cordoned(self) -> int:
         """Number of listed upstreams that are cordoned."""
-        return sum(host in self.membership.hosts for host in self._cordons.hosts)
+        return sum(host in self.membership.hosts for host in self._cordons.cordoned_hosts)
 
     def knows(self, host: str) -> bool:
         """Is this upstream listed or cordoned?"""
-        return host in self.membership.hosts or self._cordons.out(host)
+        return host in self.membership.hosts or self._cordons.is_cordoned(host)
 
     def cordon(self, host: str, out: bool) -> bool:
         """Cordon an upstream (`out`) or lift its cordon; returns False if that can't be stored."""
-        if self._cordons.out(host) is out:
-            known = self._cordons.word(host)
+        if self._cordons.is_cordoned(host) is out:
+            known = self._cordons.record(host)
             return known is None or self.persist_cordon(known)  # storing it may have failed the first time
-        word = self._cordons.said(host, out, self._wall_ns())
-        if not self._cordons.room(host):
+        word = self._cordons.new_record(host, out, self._wall_ns())
+        if not self._cordons.has_room(host):
             return False
         self.apply_cordon(word)
         return self.persist_cordon(word)
 
-    def apply_cordon(self, word: Word) -> None:
+    def apply_cordon(self, word: CordonRecord) -> None:
         """Apply an operator's command, given to this process or to the other process of this balancer."""
-        if self._cordons.hear(word):
-            log.info("operators: %.80s is %s", word.host, "cordoned" if word.out else "uncordoned")
-            entries = self._update_pools([e for e in self._addresses.listed() if e.host == word.host])
+        if self._cordons.apply(word):
+            log.info("operators: %.80s is %s", word.host, "cordoned" if word.cordoned else "uncordoned")
+            entries = self._update_pools([e for e in self._addresses.entries() if e.host == word.host])
             if entries:
                 self._on_update(api.ListUpdate(api.ListKind.DELTA, [e.upstream for e in entries]))
 
@@ -144,16 +144,16 @@
 
     def full_update(self, now: int) -> api.ListUpdate:
         """The full list now in effect."""
-        listed = [e.upstream for e in self._cordons.handed_on(self._addresses.listed(), now)]
+        listed = [e.upstream for e in self._cordons.effective_entries(self._addresses.entries(), now)]
         return api.ListUpdate(api.ListKind.FULL, listed)
 
     def _apply(self, listing: Listing) -> list[Entry]:
         """Resolve address conflicts and update the pools; returns the entries to pass to the module."""
-        return self._update_pools(self._addresses.settle(listing.entries, listing.whole), listing.whole)
+        return self._update_pools(self._addresses.update(listing.entries, listing.whole), listing.whole)
 
     def _update_pools(self, listed: list[Entry], whole: bool = False) -> list[Entry]:
         """Update the connection pools to these entries; returns the entries with cordons applied."""
-        pools, entries = self._hub.pools, self._cordons.handed_on(listed, now_ns())
+        pools, entries = self._hub.pools, self._cordons.effective_entries(listed, now_ns())
         removed = set(pools) - {e.upstream.id for e in entries} if whole else set()
         for entry in entries:
             if entry.upstream.state is api.State.GONE:
--- a/lanemux/storm/module.py
+++ b/lanemux/storm/module.py
@@ -117,8 +117,8 @@
                 self._count_unserved(event.request)
             elif type(event) is api.ListUpdate:
                 check_restarts = True
-            elif type(event) is api.Truth:  # the ends of all other requests were lost
-                self._class_by_request = {n: c for n, c in self._class_by_request.items() if n in event.calls}
+            elif type(event) is api.Resync:  # the ends of all other requests were lost
+                self._class_by_request = {n: c for n, c in self._class_by_request.items() if n in event.requests}
         return check_restarts
 
     def _with_restarts(self, events: list[api.Event], now: int) -> list[api.Event]:
@@ -167,7 +167,7 @@
         )
         return (
             [
-                api.Note(
+                api.WriteLog(
                     f"storm: {before.value} -> {self.phase.value}; of what comes {detector.retry_share:.0%} are "
                     f"retries, of what ends {detector.unserved_share:.0%} is not served"
                 )
--- a/lanemux/storm/restarts.py
+++ b/lanemux/storm/restarts.py
@@ -16,7 +16,7 @@
 # If this share of the list, and at least so many, refuse at once, the cause is local: no descriptors are left here.
 LOCAL_FAULT_SHARE, LOCAL_FAULT_MIN = 0.7, 3
 # Show neither a stop nor a start.
-INCONCLUSIVE = (api.Result.MOOT, api.Result.CANCELLED, api.Result.TIMEOUT, api.Result.RESET)
+INCONCLUSIVE = (api.Result.NOT_SENT, api.Result.CANCELLED, api.Result.TIMEOUT, api.Result.RESET)
 
 
 @dataclass(slots=True)
--- a/lanemux/takeover/cordon_file.py
+++ b/lanemux/takeover/cordon_file.py
@@ -5,7 +5,7 @@
 import hashlib
 import json
 
-from lanemux.core.cordons import Word
+from lanemux.core.cordons import CordonRecord
 
 FORMAT_VERSION = 1
 FILE_SUFFIX = ".word"
@@ -17,14 +17,14 @@
     return hashlib.blake2b(host.encode(errors="surrogatepass"), digest_size=16).hexdigest() + FILE_SUFFIX
 
 
-def encode(change: Word) -> bytes:
+def encode(change: CordonRecord) -> bytes:
     """Encode a change as the content of its file."""
     return json.dumps(
-        {"version": FORMAT_VERSION, "host": change.host, "out": change.out, "at_ns": change.at_ns}
+        {"version": FORMAT_VERSION, "host": change.host, "out": change.cordoned, "at_ns": change.at_ns}
     ).encode()
 
 
-def decode(text: bytes) -> Word:
+def decode(text: bytes) -> CordonRecord:
     """Decode the content of a file. Raises ValueError if it is truncated, foreign or of another version."""
     try:
         content = json.loads(text)
@@ -35,4 +35,4 @@
     host, out, at_ns = content.get("host"), content.get("out"), content.get("at_ns")
     if not (isinstance(host, str) and host and isinstance(out, bool) and type(at_ns) is int and at_ns > 0):
         raise ValueError("host, out or at_ns is missing or invalid")
-    return Word(host, out, at_ns)
+    return CordonRecord(host, out, at_ns)
--- a/lanemux/takeover/cordon_sync.py
+++ b/lanemux/takeover/cordon_sync.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Callable
 
-from lanemux.core.cordons import MAX_CORDONS, Word
+from lanemux.core.cordons import MAX_CORDONS, CordonRecord
 from lanemux.core.system import System
 from lanemux.takeover.cordon_file import FILE_SUFFIX, MAX_FILE_BYTES, decode, encode, file_name
 
@@ -18,7 +18,7 @@
 class CordonSync:
     """The shared folder of cordons. `on_change` is called for each change that is new to this process."""
 
-    def __init__(self, system: System, folder: str, on_change: Callable[[Word], None]) -> None:
+    def __init__(self, system: System, folder: str, on_change: Callable[[CordonRecord], None]) -> None:
         self._system = system
         self._folder = folder
         self._on_change = on_change
@@ -31,16 +31,16 @@
     def open(self) -> None:
         """Read the folder now and poll it from then on. A folder that can't be created is logged and has no effect."""
         try:
-            self._system.make_folder(self._folder)
+            self._system.make_directory(self._folder)
         except OSError as error:
             log.warning("takeover: %s: %s; cordons are not shared with another version", self._folder, error.strerror)
         self._poll()
 
-    def publish(self, change: Word) -> bool:
+    def publish(self, change: CordonRecord) -> bool:
         """Write a change for the other process; return False if it can't be written."""
         name, text = file_name(change.host), encode(change)
         try:
-            self._system.replace(f"{self._folder}/{name}", text)
+            self._system.write_atomic(f"{self._folder}/{name}", text)
         except OSError as error:
             log.warning("takeover: the cordon of %.80s can't be stored: %s", change.host, error.strerror)
             return False
@@ -50,12 +50,14 @@
     def _poll(self) -> None:
         self._poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
         try:
-            changed_ns = self._system.changed_ns(self._folder)
+            changed_ns = self._system.directory_mtime_ns(self._folder)
             # File times have the resolution of a kernel tick: a write in the tick of the last poll is not visible.
             unchanged = changed_ns == self._folder_changed_ns
             if unchanged and self._polled_since_change:
                 return
-            names = sorted(n for n in self._system.names(self._folder) if n.endswith(FILE_SUFFIX))[:MAX_CORDONS]
+            names = sorted(n for n in self._system.list_directory(self._folder) if n.endswith(FILE_SUFFIX))[
+                :MAX_CORDONS
+            ]
         except OSError as error:
             if not self._read_failing:
                 log.warning("takeover: %s: %s", self._folder, error.strerror)
--- a/tests/storm/test_module.py
+++ b/tests/storm/test_module.py
@@ -81,7 +81,7 @@
 
 
 def notes(driver: Driver) -> list[str]:
-    return [a.text for a in driver.actions if isinstance(a, api.Note)]
+    return [a.text for a in driver.actions if isinstance(a, api.WriteLog)]
 
 
 def test_storm_is_logged_when_it_begins_and_ends() -> None:
--- a/tests/storm/test_restarts.py
+++ b/tests/storm/test_restarts.py
@@ -41,7 +41,7 @@
     refuse(detector, SECOND)
     refuse(detector, SECOND + MIN_DOWNTIME_NS - 2)
     assert detector.observe(7, api.Result.OK, SECOND + MIN_DOWNTIME_NS - 1) is None
-    for result in (api.Result.RESET, api.Result.TIMEOUT, api.Result.CANCELLED, api.Result.MOOT):
+    for result in (api.Result.RESET, api.Result.TIMEOUT, api.Result.CANCELLED, api.Result.NOT_SENT):
         for n in range(5):
             assert detector.observe(7, result, (4 + n) * SECOND) is None
     assert detector.observe(7, api.Result.OK, 9 * SECOND) is None
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from lanemux.core.cordons import Word
+from lanemux.core.cordons import CordonRecord
 from lanemux.core.system import Machine
 from lanemux.takeover import cordon_file
 from lanemux.takeover.cordon_sync import CordonSync
@@ -26,7 +26,7 @@
 
 
 def test_encoded_cordon_is_decoded_unchanged() -> None:
-    change = Word("s-\u00e9\ud800", True, 12)
+    change = CordonRecord("s-\u00e9\ud800", True, 12)
     assert cordon_file.decode(cordon_file.encode(change)) == change
 
 
@@ -52,7 +52,7 @@
 
 
 def test_truncated_cordon_file_is_rejected() -> None:
-    text = cordon_file.encode(Word("s-5be2a07c", True, 1_700_000_000_000_000_000))
+    text = cordon_file.encode(CordonRecord("s-5be2a07c", True, 1_700_000_000_000_000_000))
     for size in range(len(text)):
         with pytest.raises(ValueError):
             cordon_file.decode(text[:size])
@@ -60,15 +60,19 @@
 
 def test_cordons_are_exchanged_both_ways_and_a_broken_file_is_skipped(tmp_path: Path) -> None:
     async def test() -> None:
-        received: tuple[list[Word], list[Word]] = ([], [])
+        received: tuple[list[CordonRecord], list[CordonRecord]] = ([], [])
         old, new = (CordonSync(Machine(), f"{tmp_path}/words", h.append) for h in received)
         old.open()
-        assert old.publish(Word("a", True, 1))
+        assert old.publish(CordonRecord("a", True, 1))
         (tmp_path / "words" / ("0" * 32 + cordon_file.FILE_SUFFIX)).write_bytes(b'{"version": 1, "ho')
         new.open()  # earlier changes are known at once
-        assert received[1] == [Word("a", True, 1)]
-        assert new.publish(Word("a", False, 2)) and old.publish(Word("b", True, 3))
-        await until(lambda: received == ([Word("a", False, 2)], [Word("a", True, 1), Word("b", True, 3)]))
+        assert received[1] == [CordonRecord("a", True, 1)]
+        assert new.publish(CordonRecord("a", False, 2)) and old.publish(CordonRecord("b", True, 3))
+        await until(
+            lambda: (
+                received == ([CordonRecord("a", False, 2)], [CordonRecord("a", True, 1), CordonRecord("b", True, 3)])
+            )
+        )
         old.close()
         new.close()
 
@@ -77,18 +81,18 @@
 
 def test_cordon_written_in_the_tick_of_the_last_poll_is_read(tmp_path: Path) -> None:
     class Coarse(Machine):
-        def changed_ns(self, folder: str) -> int:
+        def directory_mtime_ns(self, folder: str) -> int:
             return 1  # as if all happened within one tick of the file system's clock
 
     async def test() -> None:
-        received: list[Word] = []
+        received: list[CordonRecord] = []
         sync, other = (
             CordonSync(Coarse(), f"{tmp_path}", received.append),
             CordonSync(Machine(), f"{tmp_path}", lambda w: None),
         )
         sync.open()
-        assert other.publish(Word("a", True, 1))
-        await until(lambda: received == [Word("a", True, 1)])
+        assert other.publish(CordonRecord("a", True, 1))
+        await until(lambda: received == [CordonRecord("a", True, 1)])
         sync.close()
 
     run(test())
@@ -99,7 +103,7 @@
         (tmp_path / "file").write_bytes(b"")
         sync = CordonSync(Machine(), f"{tmp_path}/file/words", lambda change: None)
         sync.open()
-        assert not sync.publish(Word("a", True, 1))
+        assert not sync.publish(CordonRecord("a", True, 1))
         sync.close()
 
     run(test())
