--- a/lanemux/virtual/leftovers.py
+++ b/lanemux/virtual/leftovers.py
@@ -27,7 +27,7 @@
     return {
         "requests": len(module.requests),
         "held back": sum(len(t.held) for t in module.throttles.values()),
-        "in line": sum(len(p.line) for p in module.fleet.pools.values()),
+        "in line": sum(len(p.queue) for p in module.fleet.pools.values()),
     }
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -154,9 +154,9 @@
         fleet, numbers = self.balancers[liar].fleet, itertools.count(1)
 
         def say() -> None:
-            for server in fleet.any.reach[: fleet.any.home]:
+            for server in fleet.default_pool.reach[: fleet.default_pool.home]:
                 word = struct.pack(">IBBB", server.id, next(numbers) % 256, held, 0)
-                for peer in fleet.place(server).peers:
+                for peer in fleet.refresh_placement(server).peers:
                     self._tell(liar, api.Tell(word, peer))
             if self.now < end:
                 self.at(self.now + every_ns, say)
--- a/tests/rehearsal/broken/floods_cold.py
+++ b/tests/rehearsal/broken/floods_cold.py
@@ -20,5 +20,5 @@
 
 
 Fleet.pick = youngest  # type: ignore[method-assign]
-Fleet.cold = never_cold  # type: ignore[method-assign]
+Fleet.is_cold = never_cold  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/test_arrangement.py
+++ b/tests/test_arrangement.py
@@ -8,7 +8,7 @@
 
 from lanemux import interface as api
 from lanemux.core.ring import mixed
-from lanemux.policy import DEAR_HOME, GOLDEN, HOME, SHARED, Balancer
+from lanemux.policy import GOLDEN_RATIO, HOME_SIZES, MIN_HOME, SHARERS, Balancer
 
 ZONES = ("east", "west", "north")
 KINDS = ("m", "xl")
@@ -85,8 +85,8 @@
         near = [e for e in pool if e.zone == told.zone] or pool
     n, first = len(near), told.me * len(near) // proxies
     if n < len(pool) or cls.zones is not None:
-        proxies, first = max(1, proxies // len(told.zones)), int(told.me * GOLDEN % 1 * n)
-    least = DEAR_HOME if told.prices.connection > 0 else max(HOME[0], min(HOME[1], SHARED * n // proxies))
+        proxies, first = max(1, proxies // len(told.zones)), int(told.me * GOLDEN_RATIO % 1 * n)
+    least = MIN_HOME if told.prices.connection > 0 else max(HOME_SIZES[0], min(HOME_SIZES[1], SHARERS * n // proxies))
     home = len(pool) if looks else min(n, max(least, -(-n // proxies)))
     ring = scrambled(near, 0)
     ring = ring[first:] + ring[:first]
@@ -108,16 +108,19 @@
         shares = dict.fromkeys(ready, 1.0)
         own = set()
         for cls in told.classes.values():
-            pool = fleet.pool(cls)
-            order, home, sharers = expected(told, cls, ready, fleet.looks)
+            pool = fleet.pool_for(cls)
+            order, home, sharers = expected(told, cls, ready, fleet.uses_probes)
             assert ([s.id for s in pool.all()], pool.home) == (order, home)
             assert [s.id for s in pool.reach] == order[: home + 1]
-            assert home <= pool.width <= home + 1
+            assert home <= pool.draw_size <= home + 1
             own |= set(order[:home])
             shares |= {i: max(shares[i], sharers) for i in order[:home]}
         for number in ready:
-            server = fleet.place(fleet.servers[number])
-            assert (server.own, server.sharers) == (number in own, shares[number] if server.own else 1.0)
+            server = fleet.refresh_placement(fleet.servers[number])
+            assert (server.in_own_home, server.sharers) == (
+                number in own,
+                shares[number] if server.in_own_home else 1.0,
+            )
         assert not fleet.leaving and set(fleet.servers) >= set(ready)
 
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -8,7 +8,7 @@
 
 from bench import back
 from lanemux import interface as api
-from lanemux.policy import EVIDENCE, FEEDBACK_NS, START_RATE, Balancer
+from lanemux.policy import FEEDBACK_INTERVAL_NS, INITIAL_RATE, MIN_SAMPLES, Balancer
 from tests.bench import MS, SECOND, START
 from tests.fleet import Fleet
 
@@ -17,10 +17,10 @@
 
 def believe(balancer: Balancer, rate: float, failed: float, share: float, empty: bool, now: int) -> None:
     """Put R and what it was learned from into a state, as if troubles had led there."""
-    balancer.rate.value, balancer.rate.failed = rate, failed
+    balancer.rate.value, balancer.rate.failed_rate = rate, failed
     for i, t in enumerate(balancer.throttles.values()):
         t.set_rate(max(0.05, rate * (share if i else 1 - share)), now)
-        t.u = 0 if empty else t.u
+        t.counter = 0 if empty else t.counter
 
 
 KINDS = {  # what tells it of room: looks, what upstreams say in answers, nothing but its own outcomes
@@ -68,13 +68,13 @@
     """Some requests come just before the end of an interval in which nobody asked, most of them badly."""
     balancer = Balancer(back.fleet(1).balancers[0].settings, 1, START)
     balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(n) for n in range(1, back.BOXES + 1)])])
-    begun = START + FEEDBACK_NS - 20 * MS
-    for i in range(2 * EVIDENCE):
+    begun = START + FEEDBACK_INTERVAL_NS - 20 * MS
+    for i in range(2 * MIN_SAMPLES):
         name, now = f"q{i}", begun + i * MS
         balancer.handle(now, [api.Arrival(name, "quote", "ash", now + 400 * MS)])
         balancer.rate.unplaced += 1
-    balancer.handle(START + FEEDBACK_NS + MS, [])
-    assert balancer.rate.value == START_RATE  # nothing is judged yet
-    balancer.handle(begun + FEEDBACK_NS + MS, [])
-    balancer.handle(begun + 2 * FEEDBACK_NS + MS, [])
-    assert balancer.rate.value < START_RATE  # and now it is, over the time in which they asked
+    balancer.handle(START + FEEDBACK_INTERVAL_NS + MS, [])
+    assert balancer.rate.value == INITIAL_RATE  # nothing is judged yet
+    balancer.handle(begun + FEEDBACK_INTERVAL_NS + MS, [])
+    balancer.handle(begun + 2 * FEEDBACK_INTERVAL_NS + MS, [])
+    assert balancer.rate.value < INITIAL_RATE  # and now it is, over the time in which they asked
--- a/tests/test_mending.py
+++ b/tests/test_mending.py
@@ -30,23 +30,23 @@
 # Where a fault may strike: the whole way of a request, the list, words, timers and the feedback.
 PLACES = (
     (policy.Fleet, "pick"),
-    (policy.Fleet, "learn"),
-    (policy.Fleet, "heard"),
-    (policy.Fleet, "place"),
-    (policy.Fleet, "bar"),
-    (policy.Crowding, "note"),
-    (policy.Crowding, "expected"),
-    (policy.Crowding, "held"),
-    (policy.Rate, "adjust"),
+    (policy.Fleet, "apply_list"),
+    (policy.Fleet, "record_peer_report"),
+    (policy.Fleet, "refresh_placement"),
+    (policy.Fleet, "back_off"),
+    (policy.LoadModel, "record_latency"),
+    (policy.LoadModel, "expected_ns"),
+    (policy.LoadModel, "record_busy_time"),
+    (policy.AdmissionRate, "adjust"),
     (policy.Throttle, "offer"),
-    (policy.Throttle, "spare"),
+    (policy.Throttle, "take_spare"),
     (policy.Balancer, "_send"),
     (policy.Balancer, "_refuse"),
     (policy.Balancer, "_end"),
-    (policy.Balancer, "_again"),
-    (policy.Balancer, "_tell"),
-    (policy.Balancer, "_later"),
-    (policy.Balancer, "_overdue"),
+    (policy.Balancer, "_retry_or_refuse"),
+    (policy.Balancer, "_tell_peers"),
+    (policy.Balancer, "_set_timer"),
+    (policy.Balancer, "_on_overdue"),
 )
 
 
@@ -188,7 +188,7 @@
         assert set(self.proxy.balancer.fleet.servers) <= set(self.proxy.listed)
         assert not self.proxy.calls and not self.proxy.balancer.requests
         assert not any(len(t.held) for t in self.proxy.balancer.throttles.values())
-        assert not any(len(p.line) for p in self.proxy.balancer.fleet.pools.values())
+        assert not any(len(p.queue) for p in self.proxy.balancer.fleet.pools.values())
 
     @rule(cls=st.sampled_from(["quote", "pay"]), retry=st.booleans(), count=st.integers(1, 12))
     def arrive(self, cls: str, retry: bool, count: int) -> None:
@@ -286,8 +286,8 @@
     ("owner", "name", "wrong"),
     [
         (policy.Balancer, "_refuse", lambda self, r, now, why: self._end(r, now)),
-        (policy.Fleet, "_forget", lambda self: None),
-        (policy.Balancer, "_changed", lambda self, server: setattr(server, "inflight", max(1, server.inflight))),
+        (policy.Fleet, "_remove_gone", lambda self: None),
+        (policy.Balancer, "_mark_changed", lambda self, server: setattr(server, "inflight", max(1, server.inflight))),
     ],
 )
 def test_planted_faults_break_an_invariant(
@@ -300,7 +300,7 @@
 
 def test_a_fault_in_the_batch_that_holds_a_drain_does_not_hide_the_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     proxy = Proxy()
-    plant(monkeypatch, (policy.Fleet, "learn"), True)
+    plant(monkeypatch, (policy.Fleet, "apply_list"), True)
     proxy.take(api.ListKind.DELTA, [api.Upstream(n, api.State.DRAINING) for n in range(1, 12)])
     assert proxy.failures == 1
     for _ in range(40):
@@ -312,7 +312,7 @@
     proxy = Proxy()
     proxy.arrive("quote", False)
     (call,) = proxy.calls.values()
-    plant(monkeypatch, (policy.Balancer, "_tell"), True)  # the last step: all else of the batch is booked
+    plant(monkeypatch, (policy.Balancer, "_tell_peers"), True)  # the last step: all else of the batch is booked
     proxy.arrive("quote", False)
     proxy.check()
     assert proxy.failures == 1 and len(proxy.calls) == 2
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from lanemux import interface as api
-from lanemux.policy import Attempt, Balancer, Rate, Server, Throttle
+from lanemux.policy import AdmissionRate, Attempt, Balancer, Server, Throttle
 from tests.bench import (
     ANY,
     BIG,
@@ -237,7 +237,7 @@
 def test_an_idle_upstream_is_never_too_slow_to_try() -> None:
     # Guards against refusing on a quiet day because one heavy request made an upstream look slow.
     desk = probing(servers=1)
-    desk.balancer.fleet.servers[1].pace = 9.0
+    desk.balancer.fleet.servers[1].latency_ratio = 9.0
     desk.give(arrival(1, desk.now, wait_ns=100 * MS))
     desk.give(api.ProbeResult(1, api.Result.OK, MS, {"inflight": 0.0}))
     assert len(desk.sends["r1"]) == 1
@@ -259,7 +259,7 @@
         desk.give(arrival(i, desk.now, wait_ns=100 * MS))
     desk.advance(150 * MS)
     server = desk.balancer.fleet.servers[1]
-    assert server.strikes <= 2
+    assert server.failure_streak <= 2
 
 
 def struck(breaks: dict[int, int]) -> set[int]:
@@ -268,11 +268,11 @@
     fleet = desk.balancer.fleet
     for server in fleet.servers.values():
         for _ in range(20):
-            fleet.ends(server, False)
+            fleet.record_end(server, False)
     return {
         number
         for number, count in breaks.items()
-        if [fleet.ends(fleet.servers[number], True) for _ in range(count)][-1]
+        if [fleet.record_end(fleet.servers[number], True) for _ in range(count)][-1]
     }
 
 
@@ -288,7 +288,7 @@
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}", api.Result.RESET)
         desk.finish(f"r{i}")
-    assert sum(desk.balancer.rate.bad.values()) <= 1  # the first break of all is the upstream's own
+    assert sum(desk.balancer.rate.failures.values()) <= 1  # the first break of all is the upstream's own
 
 
 def test_an_attempt_ends_at_the_aim_where_late_is_worth_nothing() -> None:
@@ -303,7 +303,7 @@
     for me in range(10):
         b = Balancer(settings(me=me, replicas_of_me=10), 1, START)
         b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(100))])
-        homes += [s.id for s in b.fleet.any.reach[: b.fleet.any.home]]
+        homes += [s.id for s in b.fleet.default_pool.reach[: b.fleet.default_pool.home]]
     assert sorted(homes) == list(range(1, 101))
 
 
@@ -313,7 +313,7 @@
     for proxies in (3, 20, 400):
         b = Balancer(settings(me=1, replicas_of_me=proxies), 1, START)
         b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(30))])
-        sizes[proxies] = b.fleet.any.home
+        sizes[proxies] = b.fleet.default_pool.home
     assert sizes == {3: 10, 20: 9, 400: 4}
 
 
@@ -323,7 +323,7 @@
     for i in range(300):
         desk.give(arrival(i, desk.now))
         desk.now += MS // 10
-    assert desk.balancer.crowding.limit == 1
+    assert desk.balancer.load_model.limit == 1
 
 
 def test_the_first_answers_count_more() -> None:
@@ -333,7 +333,7 @@
         desk.give(arrival(i, desk.now))
         desk.now += 100 * MS
         desk.finish(f"r{i}")
-    assert abs(desk.balancer.crowding.each - 100 * MS) < 10 * MS
+    assert abs(desk.balancer.load_model.per_request_ns - 100 * MS) < 10 * MS
 
 
 def test_client_gone_ends_the_request() -> None:
@@ -459,7 +459,7 @@
 def near_home(zone: str, me: int, proxies: int, prices: api.Prices, servers: int = 24) -> list[api.Upstream]:
     b = Balancer(settings(me=me, replicas_of_me=proxies, zone=zone, zones=("east", "west"), prices=prices), 1, START)
     b.handle(START, [api.ListUpdate(api.ListKind.FULL, mixed_fleet(servers))])
-    return [s.entry for s in b.fleet.any.reach[: b.fleet.any.home]]
+    return [s.entry for s in b.fleet.default_pool.reach[: b.fleet.default_pool.home]]
 
 
 def test_home_is_small_and_near_where_connections_have_a_price() -> None:
@@ -515,20 +515,20 @@
 
 def test_a_request_that_waits_on_others_is_not_taken_for_a_crowd() -> None:
     # Guards against refusing on a quiet day: time spent beside the queue was laid on the requests held.
-    crowding = Balancer(settings(), 1, START).crowding
+    crowding = Balancer(settings(), 1, START).load_model
     server = Server(1, upstreams(1)[0])
     for i in range(200):
         held = 1.0 + i % 4
-        crowding.crowd(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
-    assert crowding.each < 120 * MS and crowding.base > 150 * MS
+        crowding.record_sample(Attempt(server, 0, 1.0, held), 300 * MS + 50 * MS * held)
+    assert crowding.per_request_ns < 120 * MS and crowding.base_ns > 150 * MS
 
 
 def test_a_crowded_small_home_lowers_the_rate() -> None:
     # Incident i430663: of a home of four, three and more could fail all day and R was never judged by it.
     throttle = Throttle(1.0, random.Random(1), 0)
     for failing, falls in ((2, False), (4, True)):
-        rate = Rate([throttle], 0)
-        rate.good, rate.bad = 4, Counter(dict.fromkeys(range(failing), 6))
+        rate = AdmissionRate([throttle], 0)
+        rate.successes, rate.failures = 4, Counter(dict.fromkeys(range(failing), 6))
         rate.adjust(SECOND, 4)
         assert (rate.value < 100) is falls
 
@@ -572,7 +572,7 @@
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
         desk.advance(SECOND)
-    assert len(desk.balancer.fleet.servers) <= 6 and len(desk.balancer.due) < 20
+    assert len(desk.balancer.fleet.servers) <= 6 and len(desk.balancer.timers) < 20
 
 
 def test_a_single_proxy_uses_all_zones() -> None:
@@ -605,4 +605,4 @@
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
-    assert len(desk.balancer.fleet.any.line) < 20 and "refused" in desk.answer.values()
+    assert len(desk.balancer.fleet.default_pool.queue) < 20 and "refused" in desk.answer.values()
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -36,7 +36,7 @@
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
     balancer.handle(START + MS, [api.PeerMessage(3, data)])
-    assert all(s.elsewhere is None for s in balancer.fleet.servers.values())
+    assert all(s.peer_load is None for s in balancer.fleet.servers.values())
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
     """An upstream that only a peer has named is none; one that a peer leaves alone is left alone here too."""
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.reach[: balancer.fleet.any.home]
+    home = balancer.fleet.default_pool.reach[: balancer.fleet.default_pool.home]
     shunned = home[:5]
     words = [form.Word(s.id, 1, 0, SECOND) for s in shunned] + [form.Word(999, 1, 0, SECOND)]
     balancer.handle(START + MS, [api.PeerMessage(1, w.data()) for w in words])
@@ -112,46 +112,46 @@
     balancer.handle(START, [ready(60)])
     words = [form.Word(s.id, 1, 0, 3 * SECOND) for s in balancer.fleet.servers.values()]
     balancer.handle(START + MS, [api.PeerMessage(1, w.data()) for w in words])
-    pool = balancer.fleet.any
-    assert sum(balancer.fleet.fit(s, START + 2 * MS) for s in pool.reach) >= 0.2 * pool.width
+    pool = balancer.fleet.default_pool
+    assert sum(balancer.fleet.is_available(s, START + 2 * MS) for s in pool.reach) >= 0.2 * pool.draw_size
 
 
 def test_the_load_of_others_is_seen_and_a_struck_upstream_is_tried_by_one() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.reach[: balancer.fleet.any.home]
+    home = balancer.fleet.default_pool.reach[: balancer.fleet.default_pool.home]
     idle = home[3]
     balancer.handle(START + MS, [api.PeerMessage(2, form.Word(s.id, 1, 2).data()) for s in home if s is not idle])
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
     assert [a.upstream for a in actions if isinstance(a, api.Send)] == [idle.id]
-    assert {a.peer for a in tells(actions)} == set(balancer.fleet.place(idle).peers)
+    assert {a.peer for a in tells(actions)} == set(balancer.fleet.refresh_placement(idle).peers)
     struck = home[0]
     balancer.handle(START + 3 * MS, [api.PeerMessage(2, form.Word(struck.id, 2, 0, 50 * MS).data())])
     now = START + 60 * MS
-    assert balancer.fleet.fit(struck, now)
+    assert balancer.fleet.is_available(struck, now)
     balancer.handle(now, [api.PeerMessage(7, form.Word(struck.id, 1, 1).data())])
-    assert not balancer.fleet.fit(struck, now + MS)
+    assert not balancer.fleet.is_available(struck, now + MS)
 
 
 def test_what_one_finds_sound_again_all_use_again_and_failures_of_all_add_up() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    struck, now = balancer.fleet.any.reach[2], START
+    struck, now = balancer.fleet.default_pool.reach[2], START
     for number in range(1, 4):  # three rests, told one after the other by different peers
         balancer.handle(now, [api.PeerMessage(number, form.Word(struck.id, 1, 0, 100 * MS).data())])
         now += 150 * MS
-    assert struck.strikes == 3
+    assert struck.failure_streak == 3
     balancer.handle(now, [api.PeerMessage(9, form.Word(struck.id, 1, 0, 2 * SECOND).data())])
-    assert not balancer.fleet.fit(struck, now + MS)
+    assert not balancer.fleet.is_available(struck, now + MS)
     balancer.handle(now + 2 * MS, [api.PeerMessage(1, form.Word(struck.id, 2, 0, good=True).data())])
-    assert balancer.fleet.fit(struck, now + 3 * MS)
-    assert not struck.strikes
+    assert balancer.fleet.is_available(struck, now + 3 * MS)
+    assert not struck.failure_streak
 
 
 def test_a_request_with_too_little_time_left_is_refused_at_once_not_sent() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    home = balancer.fleet.any.reach[: balancer.fleet.any.home]
+    home = balancer.fleet.default_pool.reach[: balancer.fleet.default_pool.home]
     words = [form.Word(s.id, 1, 30) for s in home]
     balancer.handle(START + MS, [api.PeerMessage(peer, w.data()) for w in words for peer in (1, 2)])
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
@@ -225,7 +225,8 @@
             words = [form.Word(old, now // MS, 1, 100 * MS).data(), form.Word(old + 1, now // MS, 0).data()]
             events = [api.PeerMessage(peer, word) for peer in (1, 2) for word in words]
             actions = balancer.handle(
-                now, [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.Wake(str(balancer.timer))]
+                now,
+                [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.Wake(str(balancer.timer_number))],
             )
             for send in [a for a in actions if isinstance(a, api.Send)]:
                 result = (api.Result.OK, api.Result.CONNECT_FAILED)[old % 2]
@@ -234,7 +235,7 @@
             balancer.handle(now + 2 * MS, [api.ListUpdate(api.ListKind.DELTA, change)])
             balancer.handle(now + 3 * MS, [api.PeerMessage(3, word) for word in words[:1]])
         now += 20 * SECOND
-        balancer.handle(now, [api.Wake(str(balancer.timer))])
+        balancer.handle(now, [api.Wake(str(balancer.timer_number))])
         gc.collect()
         return Counter(type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("lanemux"))
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -256,10 +256,10 @@
     server = module.fleet.servers[7]
     assert server.inflight == 1
     later = now + 20 * second  # its reader is slow: that says nothing of the upstream
-    pace, good = server.pace, module.rate.good
+    pace, good = server.latency_ratio, module.rate.successes
     module.handle(later, [api.Outcome("a", 0, 7, Result.RESET, 20 * second, True)])
-    assert (server.inflight, server.pace, server.strikes) == (1, pace, 0)
-    assert module.rate.good <= good and "a" not in module.requests
+    assert (server.inflight, server.latency_ratio, server.failure_streak) == (1, pace, 0)
+    assert module.rate.successes <= good and "a" not in module.requests
 
 
 def plain(data: bytes) -> list[bytes]:
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from lanemux import interface as api
-from lanemux.policy import FEEDBACK_NS, Balancer, Pool, Rate, Request, Throttle
+from lanemux.policy import FEEDBACK_INTERVAL_NS, AdmissionRate, Balancer, Pool, Request, Throttle
 from tests.bench import MS, READ, SECOND, START, arrival, upstreams
 from tests.bench import settings as bench_settings
 
 
 def throttle(bank: int, hold: int, u: int, rate: float = 1.0) -> Throttle:
     t = Throttle(1.0, random.Random(1), 0)
-    t.bank, t.hold, t.u, t.rate, t.credit, t.at = bank, hold, u, rate, 0.0, 0
+    t.bucket_capacity, t.hold_capacity, t.counter, t.rate, t.partial_token, t.updated_ns = bank, hold, u, rate, 0.0, 0
     return t
 
 
@@ -29,7 +29,7 @@
     overflow = count = 0
     for second, arrivals in enumerate(steps, 1):
         now = second * SECOND
-        sent += [r.id for r in t.released(now)]
+        sent += [r.id for r in t.release(now)]
         for _ in range(arrivals):
             count += 1
             r = request(count, t)
@@ -37,7 +37,7 @@
             overflow += answer is False
             if answer is True:
                 sent.append(r.id)
-        path.append(t.u)
+        path.append(t.counter)
         lost.append(overflow)
     return path, lost, sent
 
@@ -66,7 +66,7 @@
     t = throttle(bank, hold, bank + hold)
     path, lost, _ = play(t, steps)
     assert (path, lost) == recursion(bank + hold, bank + hold, steps)
-    assert len(t.held) == max(0, hold - t.u)  # (2.3)
+    assert len(t.held) == max(0, hold - t.counter)  # (2.3)
 
 
 @settings(derandomize=True, deadline=None)
@@ -88,8 +88,8 @@
     t = throttle(0, 2, 2)
     first, second = request(1, t), request(2, t)
     assert t.offer(first, 0) is None and t.offer(second, 0) is None
-    t.leave(first)
-    assert list(t.released(SECOND)) == [second] and t.u == 2
+    t.remove(first)
+    assert list(t.release(SECOND)) == [second] and t.counter == 2
 
 
 def test_change_of_rate_keeps_tokens_and_held() -> None:
@@ -97,27 +97,27 @@
     r = request(1, t)
     assert t.offer(r, 0) is None
     t.set_rate(100.0, 0)
-    assert t.hold - t.u == 1 and list(t.held) == [r]
-    assert list(t.released(20 * MS)) == [r]
+    assert t.hold_capacity - t.counter == 1 and list(t.held) == [r]
+    assert list(t.release(20 * MS)) == [r]
 
 
 def test_starts_full_and_ticks_out_of_step() -> None:
     throttles = [Throttle(1.0, random.Random(seed), 0) for seed in range(20)]
     for t in throttles:
-        assert t.u == t.bank + t.hold
-    assert len({round(t.credit, 3) for t in throttles}) > 10
+        assert t.counter == t.bucket_capacity + t.hold_capacity
+    assert len({round(t.partial_token, 3) for t in throttles}) > 10
 
 
 def test_a_short_trouble_costs_the_rate_only_a_moment() -> None:
     t = throttle(9, 9, 9)
-    rate = Rate([t], 0)
+    rate = AdmissionRate([t], 0)
     now = 0
 
     def interval(good: int, bad_at_each: int) -> None:
         nonlocal now
-        now += FEEDBACK_NS
-        rate.good, t.asked, t.short = good, good, True
-        rate.bad.update({i: bad_at_each for i in range(8) if bad_at_each})
+        now += FEEDBACK_INTERVAL_NS
+        rate.successes, t.arrivals, t.ran_out = good, good, True
+        rate.failures.update({i: bad_at_each for i in range(8) if bad_at_each})
         rate.adjust(now, 8)
 
     interval(150, 0)
@@ -136,7 +136,7 @@
     balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(6))])
     t = balancer.throttles["ash"]
     t.set_rate(rate_a_second, START)
-    t.u, t.credit = t.hold, 0.0  # no token: the request waits for one
+    t.counter, t.partial_token = t.hold_capacity, 0.0  # no token: the request waits for one
     due: list[tuple[int, api.Event]] = [(START, arrival(1, START))]
     for _ in range(40):
         due.sort(key=lambda it: it[0])
@@ -148,7 +148,7 @@
             elif isinstance(action, api.SetTimer):
                 due.append((now + action.delay_ns, api.Wake(action.name)))
         if isinstance(event, api.Outcome):
-            return sum(balancer.rate.bad.values())
+            return sum(balancer.rate.failures.values())
     raise AssertionError("never ended")
 
 
@@ -162,10 +162,10 @@
     balancer = Balancer(bench_settings(), 1, START)
     balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(6))])
     for server in balancer.fleet.servers.values():
-        server.hear(load if reported else None, START)
-    rate, now = balancer.rate, START + FEEDBACK_NS
-    rate.good = 100
-    rate.bad.update({number: 20 for number in balancer.fleet.servers})
+        server.record_load(load if reported else None, START)
+    rate, now = balancer.rate, START + FEEDBACK_INTERVAL_NS
+    rate.successes = 100
+    rate.failures.update({number: 20 for number in balancer.fleet.servers})
     balancer.handle(now, [])
     return rate.value < 1000
 
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -42,7 +42,7 @@
 
 
 def barred(balancer: Balancer) -> int:
-    return sum(s.barred_ns > time.monotonic_ns() for s in balancer.fleet.servers.values())
+    return sum(s.backoff_until_ns > time.monotonic_ns() for s in balancer.fleet.servers.values())
 
 
 def test_connections_that_break_everywhere_leave_no_upstream_alone() -> None:
@@ -84,7 +84,7 @@
             broken = got.first.startswith("GET /stats") and looks % 2 == 1
             await (breaks if broken else answers(200, b'{"inflight":0}'))(got, writer)
 
-        monkeypatch.setattr("lanemux.policy.LOOK_NS", 4 * SECOND)
+        monkeypatch.setattr("lanemux.policy.PROBE_WAIT_NS", 4 * SECOND)
         monkeypatch.setattr("lanemux.net.probes.PROBE_TIMEOUT_S", 4.0)
         upstream = await Upstream(answer).start()
         async with node(Balancer(settings(probes=True), 1, time.monotonic_ns()), upstream) as client:
@@ -105,8 +105,8 @@
             got = await client.ask(request("/read", "Req-Cost: 60000000", deadline_ms=500))  # a minute
             assert got.status in (503, 504) and len(upstream.got) == 1
             server = next(iter(balancer.fleet.servers.values()))
-            await until(lambda: server.strikes)
-            assert server.barred_ns - time.monotonic_ns() < 1.25 * balancer.patience_ns
+            await until(lambda: server.failure_streak)
+            assert server.backoff_until_ns - time.monotonic_ns() < 1.25 * balancer.shortest_aim_ns
 
     run(test())
 
@@ -122,12 +122,12 @@
             for c in clients:
                 await c.send(request(deadline_ms=500))
             await until(lambda: sum(len(u.got) for u in upstreams) == UPSTREAMS)
-            each = balancer.crowding.each
+            each = balancer.load_model.per_request_ns
             time.sleep(0.7)  # the whole loop stands still
             for c in clients:
                 assert (await c.read()).status in (503, 504)
                 c.close()
-            assert barred(balancer) == 0 and not sum(balancer.rate.bad.values())
-            assert balancer.crowding.each == each
+            assert barred(balancer) == 0 and not sum(balancer.rate.failures.values())
+            assert balancer.load_model.per_request_ns == each
 
     run(test())
