--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,6 +1,6 @@
-"""Helpers of the tests: small settings with invented names, and a checker of the rules.
+"""Test helpers: small settings with invented names, and a checker of the rules.
 
-The checker keeps books of its own from the events and actions alone; it shares nothing with the module.
+The checker keeps its own records from the events and actions alone and shares nothing with the policy.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def mixed_fleet(count: int, started_ns: int = 0) -> list[api.Upstream]:
-    """Upstreams over two zones and two kinds."""
+    """Upstreams in two zones and of two kinds."""
     return [
         u._replace(zone=("east", "west")[i % 2], kind=("large", "small")[i // 2 % 2])
         for i, u in enumerate(upstreams(count, 1, started_ns))
@@ -58,8 +58,8 @@
     return api.Arrival(f"r{number}", cls.name, tenant, now + wait_ns, retry=retry)
 
 
-class Desk:
-    """Drives one balancer, keeps its timers, and checks rules 1 to 3 and the grammar of its actions."""
+class Harness:
+    """Drives one balancer, keeps its timers, and checks rules 1 to 3 and the order of its actions."""
 
     def __init__(self, config: api.Settings | None = None, seed: int = 7, servers: int = 6) -> None:
         self.config = config or settings()
@@ -89,7 +89,7 @@
         return actions
 
     def advance(self, by_ns: int, step_ns: int = 5 * MS) -> list[api.Action]:
-        """Let time pass in ticks, delivering timers that are due and time-outs at the deadline."""
+        """Advance the clock in steps, delivering due timers and timeouts at the deadline."""
         seen: list[api.Action] = []
         end = self.now + by_ns
         while self.now < end:
@@ -119,7 +119,7 @@
         number = number if number >= 0 else len(self.sends[request]) - 1
         return self.give(self.result(request, number, result))
 
-    # -- books --
+    # -- records --
 
     def _event(self, e: api.Event) -> None:
         if isinstance(e, api.Arrival):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,6 +1,6 @@
-"""A whole fleet in one process: many modules, upstreams of one core each, and messages that come late or never.
+"""A simulated fleet in one process: many policies, single-core upstreams, and peer messages that are delayed or lost.
 
-It shares nothing with the module: upstreams are queues worked off in order, and what is counted is counted here.
+It shares nothing with the policy: upstreams are FIFO queues, and all counters are kept here.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 AIM_NS = 150 * MS
 WORK_NS = 55 * MS
 QUOTE = api.RequestClass("quote", api.Effect.SAFE, aim_ns=AIM_NS, limit_ns=400 * MS)
-LOOK_NS = 2 * MS  # a look takes so long
-REFUSED_NS = MS // 5  # how soon a dead upstream's machine refuses a connection
+LOOK_NS = 2 * MS  # latency of a probe
+REFUSED_NS = MS // 5  # time after which the machine of a dead upstream refuses a connection
 
 
 def settings(me: int, proxies: int, **changes: object) -> api.Settings:
@@ -40,13 +40,13 @@
 
 @dataclass(slots=True)
 class Box:
-    """One upstream: works off what it holds in order, at its speed."""
+    """One upstream: processes its requests in order, at its speed."""
 
     speed: float = 1.0
     dead: bool = False
-    silent: bool = False  # the way there is cut: nothing comes back
+    silent: bool = False  # network partition: no response
     started_ns: int = 0
-    free_ns: int = 0  # when it has worked off all that it holds
+    free_ns: int = 0  # when it has processed all that it holds
     held: int = 0  # requests that it has not answered yet
     sent: list[tuple[int, float]] = field(default_factory=list)  # (when, seconds of work)
 
@@ -61,28 +61,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """Those that ask again, as the site's page has them: of each request only the time since its first try counts."""
+    """Clients that retry, as the site's page describes them: aim and limit count from the first try of a request."""
 
     aim_ns: int = 264 * MS
     limit_ns: int = 661 * MS
-    try_share: float = 0.45  # of the limit that one try may take
+    try_share: float = 0.45  # share of the limit that one try may take
     retries: int = 3
     backoff_ns: int = 60 * MS
-    honour: float = 0.2  # part of them that comes back when it was told to
+    honour: float = 0.2  # share of clients that honour Retry-After
 
 
 @dataclass(slots=True)
 class Asking:
-    """One client's request, over all its tries."""
+    """One client's request with all its tries."""
 
     began_ns: int
     honours: bool
     tries: int = 0
-    trying: tuple[int, str] | None = None  # the balancer and the id of the try that is open
+    trying: tuple[int, str] | None = None  # balancer and id of the open try
 
 
 class Fleet:
-    """So many balancers over so many upstreams; `run` plays even traffic and counts how requests end."""
+    """Balancers in front of upstreams; `run` generates traffic at a constant mean rate and counts how requests end."""
 
     def __init__(
         self,
@@ -108,15 +108,15 @@
         self.ended: Counter[str] = Counter()
         self.asked_of, self.served_by, self.refused_by = Counter[int](), Counter[int](), Counter[int]()
         self.by_box: Counter[tuple[int, api.Result]] = Counter()  # attempts
-        self.fates: dict[tuple[int, str], tuple[int, bool]] = {}  # of each request: asked when, and served?
-        self.away: set[int] = set()  # balancers to whom the front sends nobody
-        self._stalled: dict[int, int] = {}  # balancer -> it stands still until then
+        self.fates: dict[tuple[int, str], tuple[int, bool]] = {}  # request -> (arrival time, whether it was served)
+        self.away: set[int] = set()  # balancers that get no new requests
+        self._stalled: dict[int, int] = {}  # balancer -> end of its stall
         self.told = 0
-        self._echoes, self._misplaced = set[int](), set[int]()
+        self._replaying, self._misplaced = set[int](), set[int]()
         self.now = START
         self._agenda: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
-        self._out: dict[tuple[int, str], int] = {}  # the attempt that is out, by its number
+        self._out: dict[tuple[int, str], int] = {}  # number of the attempt in flight
         self._names: Counter[int] = Counter()
         entries = [api.Upstream(n, started_ns=b.started_ns) for n, b in self.boxes.items()]
         for i in range(proxies):
@@ -127,7 +127,7 @@
         heapq.heappush(self._agenda, (when, self._count, what))
 
     def run(self, seconds: float, rate: float) -> None:
-        """Requests at an even mean rate over all balancers; then time for the last ones to end."""
+        """Run for that time with requests at a mean total rate, each to a random balancer."""
         end = self.now + int(seconds * SECOND)
 
         def arrive() -> None:
@@ -141,7 +141,7 @@
             what()
 
     def join(self, box: Box) -> int:
-        """A further upstream, of which all balancers hear at once; its number."""
+        """Add an upstream, which all balancers learn of at once; returns its number."""
         number = max(self.boxes) + 1
         self.boxes[number] = box
         entry = api.Upstream(number, started_ns=box.started_ns)
@@ -150,7 +150,7 @@
         return number
 
     def lie(self, liar: int, held: int, every_ns: int, end: int) -> None:
-        """From now on one balancer tells each that shares an upstream with it of so many requests there."""
+        """From now on one balancer reports so many requests at its home to each peer that shares an upstream."""
         fleet, numbers = self.balancers[liar].fleet, itertools.count(1)
 
         def say() -> None:
@@ -164,21 +164,21 @@
         say()
 
     def replay(self, i: int) -> None:
-        """From now on each of one balancer's messages comes again and again, up to a second late."""
-        self._echoes.add(i)
+        """From now on each message of one balancer is delivered several times, up to a second late."""
+        self._replaying.add(i)
 
     def misplace(self, i: int) -> None:
-        """One balancer was given `peers` in another order: what it tells one comes to another."""
+        """One balancer has its `peers` in another order: its messages reach the wrong peer."""
         self._misplaced.add(i)
 
     def restart(self, i: int, seed: int) -> None:
-        """A blank process in its place: what was out for the old one ends unheard."""
+        """Replace a balancer by a new process; outcomes of the old one's attempts are lost."""
         self.balancers[i] = Balancer(self.balancers[i].settings, seed, self.now)
         entries = [api.Upstream(n, started_ns=b.started_ns) for n, b in self.boxes.items()]
         self.hand(i, api.ListUpdate(api.ListKind.FULL, entries))
 
     def stall(self, i: int, for_ns: int) -> None:
-        """The process stands still: what comes meanwhile, its timers too, it hears after that."""
+        """Stall a process: events that arrive meanwhile, timers included, are delivered afterwards."""
         self._stalled[i] = self.now + for_ns
 
     def hand(self, i: int, event: api.Event) -> None:
@@ -217,12 +217,12 @@
             self._try(Asking(self.now, self.rng.random() < self.clients.honour), self.clients)
 
     def tenant(self) -> str:
-        """Each asks about as much as is its share."""
+        """A random tenant, weighted by share."""
         tenants = list(self.balancers[0].settings.tenants.values())
         return tenants[0].name if len(tenants) == 1 else self.rng.choices(tenants, [t.share for t in tenants])[0].name
 
     def _try(self, asking: Asking, clients: Clients) -> None:
-        """The next try of a request, at whichever balancer the front gives it."""
+        """Start the next try of a request, at a random balancer."""
         i = self.rng.choice([i for i in range(len(self.balancers)) if i not in self.away])
         self._names[i] += 1
         asking.tries += 1
@@ -250,7 +250,7 @@
             self.at(self.now + wait, lambda: self._try(asking, clients))
 
     def _answered(self, i: int, name: str) -> bool:
-        """Is this answer in time, by the client's own clock?"""
+        """Whether this answer is in time for the client."""
         asking, clients = self._asking.pop((i, name), None), self.clients
         if clients is None:
             return True
@@ -265,7 +265,7 @@
         self.told += 1
         peer = (action.peer * 7 + 3) % len(self.balancers) if i in self._misplaced else action.peer
         event = api.PeerMessage(i, action.data)
-        for late in (0, 200, 500, 1000) if i in self._echoes else (0,):
+        for late in (0, 200, 500, 1000) if i in self._replaying else (0,):
             if self.tell and self.rng.random() >= self.lose:
                 self.at(self.now + late * MS + self.rng.randrange(MS, 33 * MS), lambda: self.hand(peer, event))
 
--- a/tests/test_arrangement.py
+++ b/tests/test_arrangement.py
@@ -1,4 +1,4 @@
-"""The homes that proxies draw from: kept up change by change, they equal those worked out from the whole list."""
+"""The homes that proxies draw from: updated incrementally, they equal those computed from the whole list."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def history(rng: random.Random, size: int) -> list[api.ListUpdate]:
-    """Lists and changes as a source may send them, the empty list and unknown ones that are gone among them."""
+    """Random lists and deltas as a source may send them, with empty lists and removals of unknown upstreams."""
     updates = [api.ListUpdate(api.ListKind.CACHED, [entry(rng, i) for i in range(rng.randrange(size))])]
     for _ in range(30):
         if rng.random() < 0.1:
@@ -55,7 +55,7 @@
 
 
 def listed(updates: list[api.ListUpdate]) -> dict[int, api.Upstream]:
-    """What the updates come to."""
+    """The ready upstreams after all updates."""
     now: dict[int, api.Upstream] = {}
     for update in updates:
         if update.kind is not api.ListKind.DELTA:
@@ -70,7 +70,7 @@
     ready: dict[int, api.Upstream],
     looks: bool,
 ) -> tuple[list[int], int, float]:
-    """The whole order, how many of it are home, and who shares them: worked out from scratch."""
+    """The whole order, the size of the home and the number of proxies that share it, computed from scratch."""
 
     def scrambled(entries: list[api.Upstream], salt: int) -> list[int]:
         return [e.id for e in sorted(entries, key=lambda e: (mixed(e.id, salt), e.id))]
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_homes_kept_up_equal_homes_worked_out_from_scratch(seed: int) -> None:
+def test_incrementally_updated_homes_equal_recomputed_ones(seed: int) -> None:
     rng = random.Random(seed)
     told, updates = settings(rng), history(rng, rng.choice([3, 12, 60]))
     balancer = Balancer(told, 1, START)
@@ -124,7 +124,7 @@
         assert not fleet.leaving and set(fleet.servers) >= set(ready)
 
 
-def test_what_is_gone_is_kept_only_while_it_holds_a_request() -> None:
+def test_a_removed_upstream_is_kept_only_while_it_has_a_request() -> None:
     read = api.RequestClass("read", api.Effect.SAFE)
     b = Balancer(api.Settings(classes={"read": read}, limits=api.Limits(max_attempts=2)), 1, START)
     b.handle(START, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(1)])])
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -1,4 +1,4 @@
-"""A balancer whose upstreams have room is back within two seconds, whatever it has come to believe of them."""
+"""A balancer whose upstreams have capacity recovers within two seconds, whatever state its rate is in."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from tests.bench import MS, SECOND, START
 from tests.fleet import Fleet
 
-BACK_S = 2.0  # the operators' bound, from the last bad outcome on
+BACK_S = 2.0  # required by the operators, counted from the last bad outcome
 
 
 def believe(balancer: Balancer, rate: float, failed: float, share: float, empty: bool, now: int) -> None:
-    """Put R and what it was learned from into a state, as if troubles had led there."""
+    """Set R and its inputs to a state, as if disturbances had led to it."""
     balancer.rate.value, balancer.rate.failed_rate = rate, failed
     for i, t in enumerate(balancer.throttles.values()):
         t.set_rate(max(0.05, rate * (share if i else 1 - share)), now)
         t.counter = 0 if empty else t.counter
 
 
-KINDS = {  # what tells it of room: looks, what upstreams say in answers, nothing but its own outcomes
+KINDS = {  # how it learns of spare capacity: by probes, or only by its own outcomes
     "looks": back.LOOKS,
     "outcomes": {
         "tenants": back.TENANTS,
@@ -44,7 +44,7 @@
     st.integers(0, 499),
     st.integers(0, 10**6),
 )
-@example("looks", 1.1, 1.25, 0.5, True, 320.0, 0, 1)  # as a blank process came to: R 12.6 of 400, failed 17.8
+@example("looks", 1.1, 1.25, 0.5, True, 320.0, 0, 1)  # seen in a new process: R 12.6 of 400, failed 17.8
 @example("looks", 0.0, 0.0, 0.5, True, 320.0, 0, 2)
 @example("outcomes", 0.0, 4.0, 0.5, True, 320.0, 250, 3)
 def test_from_any_state_of_its_rate_it_is_back(
@@ -60,12 +60,12 @@
 
 
 @pytest.mark.parametrize("case", sorted(back.CASES))
-def test_it_is_back_in_two_seconds_after(case: str) -> None:
+def test_recovers_in_two_seconds_after(case: str) -> None:
     assert max(back.CASES[case](seed) for seed in range(1, 9)) <= BACK_S
 
 
-def test_the_first_requests_after_a_pause_are_not_taken_for_all_of_the_pause() -> None:
-    """Some requests come just before the end of an interval in which nobody asked, most of them badly."""
+def test_the_first_requests_after_an_idle_time_are_not_counted_over_all_of_it() -> None:
+    """Requests, most of them failing, arrive just before the end of an otherwise idle feedback interval."""
     balancer = Balancer(back.fleet(1).balancers[0].settings, 1, START)
     balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(n) for n in range(1, back.BOXES + 1)])])
     begun = START + FEEDBACK_INTERVAL_NS - 20 * MS
@@ -74,7 +74,7 @@
         balancer.handle(now, [api.Arrival(name, "quote", "ash", now + 400 * MS)])
         balancer.rate.unplaced += 1
     balancer.handle(START + FEEDBACK_INTERVAL_NS + MS, [])
-    assert balancer.rate.value == INITIAL_RATE  # nothing is judged yet
+    assert balancer.rate.value == INITIAL_RATE  # no interval has been evaluated yet
     balancer.handle(begun + FEEDBACK_INTERVAL_NS + MS, [])
     balancer.handle(begun + 2 * FEEDBACK_INTERVAL_NS + MS, [])
-    assert balancer.rate.value < INITIAL_RATE  # and now it is, over the time in which they asked
+    assert balancer.rate.value < INITIAL_RATE  # now it has, over the time since the first request
--- a/tests/test_mending.py
+++ b/tests/test_mending.py
@@ -1,6 +1,6 @@
-"""A fault inside the decisions costs one batch: histories of events, with and without faults, and what must hold.
+"""An exception inside the policy costs one batch only: random event sequences, with and without faults, and invariants.
 
-The proxy here keeps its own books from events and actions alone, as the node does; it shares nothing with the module.
+The proxy here keeps its own records from events and actions, as the node does, and shares nothing with the policy.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     "quote": api.RequestClass("quote", api.Effect.SAFE, aim_ns=150 * MS, limit_ns=400 * MS),
     "pay": api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=150 * MS, limit_ns=400 * MS),
 }
-# Where a fault may strike: the whole way of a request, the list, words, timers and the feedback.
+# Where a fault may be injected: the path of a request, the list, peer reports, timers and the feedback.
 PLACES = (
     (policy.Fleet, "pick"),
     (policy.Fleet, "apply_list"),
@@ -50,13 +50,13 @@
 )
 
 
-class Broken(Exception):
-    """The fault."""
+class InjectedFault(Exception):
+    """The injected fault."""
 
 
 @dataclass(slots=True)
 class Call:
-    """A request that the proxy has taken and not answered."""
+    """A request that the proxy has accepted and not answered yet."""
 
     deadline_ns: int
     sends: int = 0
@@ -64,7 +64,7 @@
 
 
 class Proxy:
-    """What stands round the module: calls, attempts that are out, timers, and the list."""
+    """A stub of the proxy around the policy: calls, attempts in flight, timers, and the upstream list."""
 
     def __init__(self, mend: bool = True) -> None:
         self.now, self.mend = START, mend
@@ -88,12 +88,12 @@
         while waiting:
             try:
                 actions = self.balancer.handle(self.now, waiting)
-            except Broken:
+            except InjectedFault:
                 self.failures += 1
-                actions = self._tell_the_truth() if self.mend else []
+                actions = self._resynchronize() if self.mend else []
             waiting = [e for a in actions for e in self._carry_out(a)]
 
-    def _tell_the_truth(self) -> list[api.Action]:
+    def _resynchronize(self) -> list[api.Action]:
         truth = api.Truth({name: api.Held(c.sends, c.out is not None) for name, c in self.calls.items()})
         return self.balancer.handle(self.now, [truth, api.ListUpdate(api.ListKind.FULL, list(self.listed.values()))])
 
@@ -114,7 +114,7 @@
         return []
 
     def answer(self, name: str) -> list[api.Event]:
-        """The final answer: what is out is called off with it."""
+        """Give the final answer; an attempt in flight is cancelled with it."""
         assert name in self.calls, "answered twice"
         ended = self.end(name, api.Result.CANCELLED, True)
         del self.calls[name]
@@ -158,7 +158,7 @@
         self.now = end
 
     def check(self) -> None:
-        """What must hold between any two batches."""
+        """The invariants between any two batches."""
         out = Counter(c.out for c in self.calls.values() if c.out is not None)
         for server in self.balancer.fleet.servers.values():
             assert server.inflight == out[server.id], "in flight is not what is out"
@@ -170,7 +170,7 @@
 
 
 class Histories(RuleBasedStateMachine):
-    """Any order of events; with `faults` the module fails at places and times that hypothesis chooses."""
+    """Events in any order; with `faults` the policy fails at places and times that hypothesis chooses."""
 
     faults = True
     mend = True
@@ -183,7 +183,7 @@
     def teardown(self) -> None:
         self.patches.undo()
         self.proxy.pass_time(10 * SECOND)
-        self.proxy.take(api.ListKind.DELTA, [])  # what is gone is forgotten at the next word of the list
+        self.proxy.take(api.ListKind.DELTA, [])  # upstreams that are gone are dropped at the next list update
         self.proxy.check()
         assert set(self.proxy.balancer.fleet.servers) <= set(self.proxy.listed)
         assert not self.proxy.calls and not self.proxy.balancer.requests
@@ -231,18 +231,18 @@
         self.proxy.pass_time(ms * MS)
 
     @rule(place=st.sampled_from(PLACES), before=st.booleans())
-    def break_next(self, place: tuple[type, str], before: bool) -> None:
+    def fail_next(self, place: tuple[type, str], before: bool) -> None:
         if self.faults:
             self.patches.undo()
-            plant(self.patches, place, before)
+            inject(self.patches, place, before)
 
     @invariant()
     def holds(self) -> None:
         self.proxy.check()
 
 
-def plant(patches: pytest.MonkeyPatch, place: tuple[type, str], before: bool) -> None:
-    """The next call there fails, before or after it has done its work."""
+def inject(patches: pytest.MonkeyPatch, place: tuple[type, str], before: bool) -> None:
+    """Make the next call of a method fail, before or after it has done its work."""
     owner, name = place
     real: Callable[..., Any] = getattr(owner, name)
 
@@ -250,7 +250,7 @@
         patches.undo()
         if not before:
             real(*args, **kwargs)
-        raise Broken(name)
+        raise InjectedFault(name)
 
     patches.setattr(owner, name, failing)
 
@@ -273,11 +273,11 @@
 
 
 @pytest.mark.parametrize("faults", [False, True])
-def test_whatever_comes_what_is_in_flight_is_what_is_out_and_each_request_ends_once(faults: bool) -> None:
+def test_in_flight_counts_match_and_each_request_ends_once(faults: bool) -> None:
     play(faults)
 
 
-def test_without_the_truth_after_a_fault_the_books_go_wrong() -> None:
+def test_without_resynchronization_after_a_fault_an_invariant_breaks() -> None:
     with pytest.raises(AssertionError):
         play(True, mend=False, examples=400)
 
@@ -290,7 +290,7 @@
         (policy.Balancer, "_mark_changed", lambda self, server: setattr(server, "inflight", max(1, server.inflight))),
     ],
 )
-def test_planted_faults_break_an_invariant(
+def test_faulty_methods_break_an_invariant(
     owner: type, name: str, wrong: Callable[..., None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, name, wrong)
@@ -298,9 +298,9 @@
         play(False)
 
 
-def test_a_fault_in_the_batch_that_holds_a_drain_does_not_hide_the_drain(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_drain_in_a_lost_batch_still_takes_effect(monkeypatch: pytest.MonkeyPatch) -> None:
     proxy = Proxy()
-    plant(monkeypatch, (policy.Fleet, "apply_list"), True)
+    inject(monkeypatch, (policy.Fleet, "apply_list"), True)
     proxy.take(api.ListKind.DELTA, [api.Upstream(n, api.State.DRAINING) for n in range(1, 12)])
     assert proxy.failures == 1
     for _ in range(40):
@@ -308,11 +308,13 @@
     assert {c.out for c in proxy.calls.values() if c.out is not None} <= {12}
 
 
-def test_what_a_lost_batch_had_begun_is_ended_or_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_of_a_lost_batch_are_ended_or_sent_again(monkeypatch: pytest.MonkeyPatch) -> None:
     proxy = Proxy()
     proxy.arrive("quote", False)
     (call,) = proxy.calls.values()
-    plant(monkeypatch, (policy.Balancer, "_tell_peers"), True)  # the last step: all else of the batch is booked
+    inject(
+        monkeypatch, (policy.Balancer, "_tell_peers"), True
+    )  # the last step: everything else of the batch is recorded
     proxy.arrive("quote", False)
     proxy.check()
     assert proxy.failures == 1 and len(proxy.calls) == 2
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The limits the users set for the module's text."""
+"""Limits that the users set for the source text of the policy."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert "lanemux/interface.py" in " ".join(LINES[:3])
 
 
-def test_reads_no_clock_and_no_unseeded_chance() -> None:
+def test_reads_no_clock_and_no_unseeded_random_numbers() -> None:
     text = "\n".join(LINES)
     assert "import time" not in text and "from time" not in text
     assert not [
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -1,4 +1,4 @@
-"""The throttle against the paper's recursion (2.5)-(2.11) and Theorem 3.1."""
+"""The throttle compared with the paper's recursion (2.5)-(2.11) and Theorem 3.1."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def play(t: Throttle, steps: list[int]) -> tuple[list[int], list[int], list[str]]:
-    """At each second: one token, then that many requests. Gives U, the overflows so far, the order sent."""
+    """Each second: one token, then that many requests. Returns U, the overflows so far and the order sent."""
     path, lost, sent = [], [], []
     overflow = count = 0
     for second, arrivals in enumerate(steps, 1):
@@ -43,7 +43,7 @@
 
 
 def recursion(total: int, u: int, steps: list[int]) -> tuple[list[int], list[int]]:
-    """(2.8) and (2.10), a token epoch and then the requests one by one."""
+    """Equations (2.8) and (2.10): one token, then the requests one by one."""
     path, lost, overflow = [], [], 0
     for arrivals in steps:
         u = min(total, u + 1)
@@ -92,7 +92,7 @@
     assert list(t.release(SECOND)) == [second] and t.counter == 2
 
 
-def test_change_of_rate_keeps_tokens_and_held() -> None:
+def test_change_of_rate_keeps_tokens_and_held_requests() -> None:
     t = throttle(0, 2, 2)
     r = request(1, t)
     assert t.offer(r, 0) is None
@@ -101,14 +101,14 @@
     assert list(t.release(20 * MS)) == [r]
 
 
-def test_starts_full_and_ticks_out_of_step() -> None:
+def test_starts_full_and_with_a_random_token_phase() -> None:
     throttles = [Throttle(1.0, random.Random(seed), 0) for seed in range(20)]
     for t in throttles:
         assert t.counter == t.bucket_capacity + t.hold_capacity
     assert len({round(t.partial_token, 3) for t in throttles}) > 10
 
 
-def test_a_short_trouble_costs_the_rate_only_a_moment() -> None:
+def test_the_rate_recovers_quickly_from_a_brief_disturbance() -> None:
     t = throttle(9, 9, 9)
     rate = AdmissionRate([t], 0)
     now = 0
@@ -130,13 +130,13 @@
 
 
 def timed_out(rate_a_second: float) -> int:
-    """What counts against the rate when a request's one attempt ends with its time."""
+    """The failures counted against the rate when the only attempt of a request times out."""
     config = bench_settings(tenants={"ash": api.Tenant("ash")}, limits=api.Limits(max_attempts=1))
     balancer = Balancer(config, 1, START)
     balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(6))])
     t = balancer.throttles["ash"]
     t.set_rate(rate_a_second, START)
-    t.counter, t.partial_token = t.hold_capacity, 0.0  # no token: the request waits for one
+    t.counter, t.partial_token = t.hold_capacity, 0.0  # no token: the request is held until the next one
     due: list[tuple[int, api.Event]] = [(START, arrival(1, START))]
     for _ in range(40):
         due.sort(key=lambda it: it[0])
@@ -152,13 +152,13 @@
     raise AssertionError("never ended")
 
 
-def test_what_its_own_throttle_delayed_does_not_count_against_the_rate() -> None:
-    assert timed_out(100.0) == 1  # it was held for 10 ms of its 300
-    assert timed_out(5.0) == 0  # for 200
+def test_timeouts_delayed_by_the_own_throttle_do_not_count_against_the_rate() -> None:
+    assert timed_out(100.0) == 1  # it was held for 10 ms of its 300 ms
+    assert timed_out(5.0) == 0  # held for 200 ms
 
 
-def cut_with(load: float, reported: bool = True) -> bool:
-    """Is R cut when half the attempts fail and upstreams hold so many requests?"""
+def is_lowered(load: float, reported: bool = True) -> bool:
+    """Whether R is lowered when half the attempts fail and upstreams hold so many requests."""
     balancer = Balancer(bench_settings(), 1, START)
     balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(6))])
     for server in balancer.fleet.servers.values():
@@ -170,6 +170,6 @@
     return rate.value < 1000
 
 
-def test_failures_at_upstreams_that_hold_little_do_not_cut_the_rate() -> None:
-    assert cut_with(2.0) and not cut_with(0.5)
-    assert cut_with(0.5, reported=False)  # unknown: it may be crowding
+def test_failures_at_nearly_idle_upstreams_do_not_lower_the_rate() -> None:
+    assert is_lowered(2.0) and not is_lowered(0.5)
+    assert is_lowered(0.5, reported=False)  # load unknown: it may be an overload
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -1,4 +1,4 @@
-"""The real module and the node together, over loopback sockets, while upstreams are in trouble."""
+"""The policy and the node together, over loopback sockets, with failing upstreams."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def breaks_every(nth: int) -> Answer:
-    """Breaks the connection under the second request and every so manieth one from there."""
+    """Resets the connection of the second request and of every `nth` one after it."""
     count = 0
 
     async def answer(got: Got, writer: Writer) -> None:
@@ -41,12 +41,12 @@
     return answer
 
 
-def barred(balancer: Balancer) -> int:
+def in_backoff(balancer: Balancer) -> int:
     return sum(s.backoff_until_ns > time.monotonic_ns() for s in balancer.fleet.servers.values())
 
 
-def test_connections_that_break_everywhere_leave_no_upstream_alone() -> None:
-    # Guards against a bad network, whose breaks strike all alike, taking most of a sound fleet out of use.
+def test_resets_at_all_upstreams_cause_no_backoff() -> None:
+    # Guards against a bad network, whose resets hit all upstreams, taking most of a healthy fleet out of use.
     async def test() -> None:
         upstreams = [await Upstream(breaks_every(4)).start() for _ in range(UPSTREAMS)]
         balancer = Balancer(settings(), 1, time.monotonic_ns())
@@ -54,14 +54,14 @@
         async with node(balancer, *upstreams) as client:
             for _ in range(60):
                 assert (await client.ask(request())).status == 200  # safe to repeat: sent again at once
-                most = max(most, barred(balancer))
-        assert sum(len(u.got) for u in upstreams) >= 70  # so many did break
-        assert most <= 1  # the first break of all has no other to be compared with
+                most = max(most, in_backoff(balancer))
+        assert sum(len(u.got) for u in upstreams) >= 70  # 10 or more were reset
+        assert most <= 1  # the very first reset has no others to be compared with
 
     run(test())
 
 
-def test_an_upstream_that_alone_breaks_what_it_is_sent_is_left_at_once() -> None:
+def test_one_upstream_that_resets_everything_is_backed_off_from_at_once() -> None:
     async def test() -> None:
         sound = [await Upstream(answers(200)).start() for _ in range(UPSTREAMS - 1)]
         upstreams = [await Upstream(breaks).start(), *sound]
@@ -73,8 +73,8 @@
     run(test())
 
 
-def test_a_look_that_breaks_is_taken_once_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against each broken probe costing a request the whole time an answer would be waited for.
+def test_a_reset_probe_is_repeated_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against each reset probe costing a request the whole probe timeout.
     async def test() -> None:
         looks = 0
 
@@ -95,10 +95,10 @@
     run(test())
 
 
-def test_a_hopelessly_heavy_request_takes_its_upstream_from_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a few requests of many times the usual work barring upstream after upstream.
+def test_a_far_too_heavy_request_does_not_block_its_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against a few very heavy requests causing a long backoff from upstream after upstream.
     async def test() -> None:
-        monkeypatch.setattr("lanemux.policy.STALL_NS", 60 * SECOND)  # a slow machine changes nothing here
+        monkeypatch.setattr("lanemux.policy.STALL_NS", 60 * SECOND)  # so that a slow test machine makes no difference
         upstream = await Upstream(silent).start()
         balancer = Balancer(settings(), 1, time.monotonic_ns())
         async with node(balancer, upstream) as client:
@@ -111,9 +111,9 @@
     run(test())
 
 
-def test_what_a_balancer_itself_stood_still_for_is_held_against_no_upstream() -> None:
-    # Guards against a stopped process, such as one that has spent its share of the processor, taking all
-    # upstreams for dead when it goes on.
+def test_a_stall_of_the_balancer_is_not_blamed_on_upstreams() -> None:
+    # Guards against a process that was stopped, for example with its CPU quota used up, taking all upstreams for
+    # dead when it continues.
     async def test() -> None:
         upstreams = [await Upstream(silent).start() for _ in range(UPSTREAMS)]
         balancer = Balancer(settings(), 1, time.monotonic_ns())
@@ -123,11 +123,11 @@
                 await c.send(request(deadline_ms=500))
             await until(lambda: sum(len(u.got) for u in upstreams) == UPSTREAMS)
             each = balancer.load_model.per_request_ns
-            time.sleep(0.7)  # the whole loop stands still
+            time.sleep(0.7)  # stalls the whole event loop
             for c in clients:
                 assert (await c.read()).status in (503, 504)
                 c.close()
-            assert barred(balancer) == 0 and not sum(balancer.rate.failures.values())
+            assert in_backoff(balancer) == 0 and not sum(balancer.rate.failures.values())
             assert balancer.load_model.per_request_ns == each
 
     run(test())
