--- a/tests/test_arrangement.py
+++ b/tests/test_arrangement.py
@@ -1,4 +1,4 @@
-"""The homes that proxies draw from: kept up change by change, they equal those worked out from the whole list."""
+"""The homes that proxies draw from: updated incrementally, they equal those computed from the whole list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from lanemux import interface as api
 from lanemux.core.ring import hash_id
-from lanemux.policy import DEAR_HOME, GOLDEN, HOME, SHARED, Balancer
+from lanemux.policy import GOLDEN_RATIO, HOME_SIZES, MIN_HOME, SHARERS, Balancer
 
 ZONES = ("east", "west", "north")
 KINDS = ("m", "xl")
@@ -42,7 +42,7 @@
 
 
 def history(rng: random.Random, size: int) -> list[api.ListUpdate]:
-    """Lists and changes as a source may send them, the empty list and unknown ones that are gone among them."""
+    """Random lists and deltas as a source may send them, with empty lists and removals of unknown upstreams."""
     updates = [api.ListUpdate(api.ListKind.CACHED, [entry(rng, i) for i in range(rng.randrange(size))])]
     for _ in range(30):
         if rng.random() < 0.1:
@@ -55,7 +55,7 @@
 
 
 def listed(updates: list[api.ListUpdate]) -> dict[int, api.Upstream]:
-    """What the updates come to."""
+    """The ready upstreams after all updates."""
     now: dict[int, api.Upstream] = {}
     for update in updates:
         if update.kind is not api.ListKind.DELTA:
@@ -70,7 +70,7 @@
     ready: dict[int, api.Upstream],
     looks: bool,
 ) -> tuple[list[int], int, float]:
-    """The whole order, how many of it are home, and who shares them: worked out from scratch."""
+    """The whole order, the size of the home and the number of proxies that share it, computed from scratch."""
 
     def scrambled(entries: list[api.Upstream], salt: int) -> list[int]:
         return [e.id for e in sorted(entries, key=lambda e: (hash_id(e.id, salt), e.id))]
@@ -85,8 +85,8 @@
         near = [e for e in pool if e.zone == told.zone] or pool
     n, first = len(near), told.me * len(near) // proxies
     if n < len(pool) or cls.zones is not None:
-        proxies, first = max(1, proxies // len(told.zones)), int(told.me * GOLDEN % 1 * n)
-    least = DEAR_HOME if told.prices.connection > 0 else max(HOME[0], min(HOME[1], SHARED * n // proxies))
+        proxies, first = max(1, proxies // len(told.zones)), int(told.me * GOLDEN_RATIO % 1 * n)
+    least = MIN_HOME if told.prices.connection > 0 else max(HOME_SIZES[0], min(HOME_SIZES[1], SHARERS * n // proxies))
     home = len(pool) if looks else min(n, max(least, -(-n // proxies)))
     ring = scrambled(near, 0)
     ring = ring[first:] + ring[:first]
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_homes_kept_up_equal_homes_worked_out_from_scratch(seed: int) -> None:
+def test_incrementally_updated_homes_equal_recomputed_ones(seed: int) -> None:
     rng = random.Random(seed)
     told, updates = settings(rng), history(rng, rng.choice([3, 12, 60]))
     balancer = Balancer(told, 1, START)
@@ -108,20 +108,23 @@
         shares = dict.fromkeys(ready, 1.0)
         own = set()
         for cls in told.classes.values():
-            pool = fleet.pool(cls)
-            order, home, sharers = expected(told, cls, ready, fleet.looks)
+            pool = fleet.pool_for(cls)
+            order, home, sharers = expected(told, cls, ready, fleet.uses_probes)
             assert ([s.id for s in pool.all()], pool.subset_size) == (order, home)
             assert [s.id for s in pool.candidates] == order[: home + 1]
-            assert home <= pool.width <= home + 1
+            assert home <= pool.draw_size <= home + 1
             own |= set(order[:home])
             shares |= {i: max(shares[i], sharers) for i in order[:home]}
         for number in ready:
-            server = fleet.place(fleet.servers[number])
-            assert (server.own, server.sharers) == (number in own, shares[number] if server.own else 1.0)
+            server = fleet.refresh_placement(fleet.servers[number])
+            assert (server.in_own_home, server.sharers) == (
+                number in own,
+                shares[number] if server.in_own_home else 1.0,
+            )
         assert not fleet.leaving and set(fleet.servers) >= set(ready)
 
 
-def test_what_is_gone_is_kept_only_while_it_holds_a_request() -> None:
+def test_a_removed_upstream_is_kept_only_while_it_has_a_request() -> None:
     read = api.RequestClass("read", api.Effect.SAFE)
     b = Balancer(api.Settings(classes={"read": read}, limits=api.Limits(max_attempts=2)), 1, START)
     b.handle(START, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(1)])])
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -36,7 +36,7 @@
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
     balancer.handle(START + MS, [api.PeerMessage(3, data)])
-    assert all(s.elsewhere is None for s in balancer.fleet.servers.values())
+    assert all(s.peer_load is None for s in balancer.fleet.servers.values())
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
     """An upstream known only from a report is not used; one that a peer avoids is avoided here too."""
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    subset = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
+    subset = balancer.fleet.default_pool.candidates[: balancer.fleet.default_pool.subset_size]
     avoided = subset[:5]
     reports = [peer_report.PeerReport(s.id, 1, 0, SECOND) for s in avoided] + [
         peer_report.PeerReport(999, 1, 0, SECOND)
@@ -116,48 +116,48 @@
     balancer.handle(START, [ready(60)])
     reports = [peer_report.PeerReport(s.id, 1, 0, 3 * SECOND) for s in balancer.fleet.servers.values()]
     balancer.handle(START + MS, [api.PeerMessage(1, r.encode()) for r in reports])
-    pool = balancer.fleet.any
-    assert sum(balancer.fleet.fit(s, START + 2 * MS) for s in pool.candidates) >= 0.2 * pool.width
+    pool = balancer.fleet.default_pool
+    assert sum(balancer.fleet.is_available(s, START + 2 * MS) for s in pool.candidates) >= 0.2 * pool.draw_size
 
 
 def test_peer_load_is_counted_and_a_failed_upstream_is_tried_by_one_balancer() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    subset = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
+    subset = balancer.fleet.default_pool.candidates[: balancer.fleet.default_pool.subset_size]
     idle = subset[3]
     balancer.handle(
         START + MS, [api.PeerMessage(2, peer_report.PeerReport(s.id, 1, 2).encode()) for s in subset if s is not idle]
     )
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
     assert [a.upstream for a in actions if isinstance(a, api.Send)] == [idle.id]
-    assert {a.peer for a in peer_sends(actions)} == set(balancer.fleet.place(idle).peers)
+    assert {a.peer for a in peer_sends(actions)} == set(balancer.fleet.refresh_placement(idle).peers)
     failing = subset[0]
     balancer.handle(START + 3 * MS, [api.PeerMessage(2, peer_report.PeerReport(failing.id, 2, 0, 50 * MS).encode())])
     now = START + 60 * MS
-    assert balancer.fleet.fit(failing, now)
+    assert balancer.fleet.is_available(failing, now)
     balancer.handle(now, [api.PeerMessage(7, peer_report.PeerReport(failing.id, 1, 1).encode())])
-    assert not balancer.fleet.fit(failing, now + MS)
+    assert not balancer.fleet.is_available(failing, now + MS)
 
 
 def test_recovery_seen_by_one_balancer_counts_for_all_and_failures_add_up() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    failing, now = balancer.fleet.any.candidates[2], START
+    failing, now = balancer.fleet.default_pool.candidates[2], START
     for number in range(1, 4):  # three avoidance periods in a row, reported by different peers
         balancer.handle(now, [api.PeerMessage(number, peer_report.PeerReport(failing.id, 1, 0, 100 * MS).encode())])
         now += 150 * MS
-    assert failing.strikes == 3
+    assert failing.failure_streak == 3
     balancer.handle(now, [api.PeerMessage(9, peer_report.PeerReport(failing.id, 1, 0, 2 * SECOND).encode())])
-    assert not balancer.fleet.fit(failing, now + MS)
+    assert not balancer.fleet.is_available(failing, now + MS)
     balancer.handle(now + 2 * MS, [api.PeerMessage(1, peer_report.PeerReport(failing.id, 2, 0, last_ok=True).encode())])
-    assert balancer.fleet.fit(failing, now + 3 * MS)
-    assert not failing.strikes
+    assert balancer.fleet.is_available(failing, now + 3 * MS)
+    assert not failing.failure_streak
 
 
 def test_a_request_with_too_little_time_left_is_refused_immediately() -> None:
     balancer = Balancer(settings(0, 40), 1, START)
     balancer.handle(START, [ready(60)])
-    subset = balancer.fleet.any.candidates[: balancer.fleet.any.subset_size]
+    subset = balancer.fleet.default_pool.candidates[: balancer.fleet.default_pool.subset_size]
     reports = [peer_report.PeerReport(s.id, 1, 30) for s in subset]
     balancer.handle(START + MS, [api.PeerMessage(peer, r.encode()) for r in reports for peer in (1, 2)])
     actions = balancer.handle(START + 2 * MS, [api.Arrival("a", "quote", "ash", START + 402 * MS)])
@@ -235,7 +235,7 @@
             events = [api.PeerMessage(peer, report) for peer in (1, 2) for report in reports]
             actions = balancer.handle(
                 now,
-                [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.TimerFired(str(balancer.timer))],
+                [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.TimerFired(str(balancer.timer_number))],
             )
             for send in [a for a in actions if isinstance(a, api.Send)]:
                 result = (api.Result.OK, api.Result.CONNECT_FAILED)[old % 2]
@@ -244,7 +244,7 @@
             balancer.handle(now + 2 * MS, [api.ListUpdate(api.ListKind.DELTA, change)])
             balancer.handle(now + 3 * MS, [api.PeerMessage(3, report) for report in reports[:1]])
         now += 20 * SECOND
-        balancer.handle(now, [api.TimerFired(str(balancer.timer))])
+        balancer.handle(now, [api.TimerFired(str(balancer.timer_number))])
         gc.collect()
         return Counter(type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("lanemux"))
 
