--- a/lanemux/policy.py
+++ b/lanemux/policy.py
@@ -351,7 +351,7 @@
             and settings.prices.probe * (PROBES + 1) <= MAX_PROBE_PRICE
         )
         # Where probes cost too much, proxies that share an upstream report their load there to each other.
-        self.may_use_peers = (
+        self.may_report = (
             not self.uses_probes
             and settings.limits.peers
             and len(self.pools) == 1
@@ -450,19 +450,19 @@
         pool.set_subset(first, ready if self.uses_probes else min(near, max(least, -(-near // proxies))))
         pool.draw_size = pool.subset_size
         pool.sharers = proxies * pool.subset_size / near if near else 1.0
-        self.uses_peers = self.may_use_peers and proxies > 1 and message_cost(pool.sharers, prices.peer) <= MAX_PEER_PRICE
+        self.uses_peers = self.may_report and proxies > 1 and message_cost(pool.sharers, prices.peer) <= MAX_PEER_PRICE
 
     def refresh_placement(self, s: Server) -> Server:
         """Return the upstream with `in_own_home`, `sharers` and `peers` up to date."""
         if s.placed_version != self.placement_version:
             homes = [p.sharers for p in self.pools.values() if p.in_subset(s)]
             s.placed_version, s.in_own_home, s.sharers = self.placement_version, bool(homes), max([1.0, *homes])
-            position, settings = self.default_pool.position(s) if self.uses_peers else None, self.settings
+            index, config = self.default_pool.position(s) if self.uses_peers else None, self.settings
             s.peers = (
                 ()
-                if position is None
+                if index is None
                 else peers_sharing(
-                    position, self.default_pool.near_count, self.default_pool.subset_size, settings.replicas_of_me, settings.me
+                    index, self.default_pool.near_count, self.default_pool.subset_size, config.replicas_of_me, config.me
                 )
             )
         return s
@@ -578,8 +578,8 @@
 
     def draw(self, pool: Pool, count: int, now: int) -> list[Server]:
         """`count` random draws among the available upstreams within reach, and the previous pick."""
-        size, rand = pool.draw_size, self.rng.random
-        members = pool.candidates[:size] if size <= MAX_SCAN else [pool.candidates[int(rand() * size)] for _ in range(MAX_SCAN)]
+        n, rand = pool.draw_size, self.rng.random
+        members = pool.candidates[:n] if n <= MAX_SCAN else [pool.candidates[int(rand() * n)] for _ in range(MAX_SCAN)]
         available = [s for s in members if self.is_available(s, now)]
         drawn = [available[int(rand() * len(available))] for _ in range(count)] if available else []
         if pool.last_pick is not None and self.is_available(pool.last_pick, now) and pool.draws_from(pool.last_pick):
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -235,7 +235,11 @@
             events = [api.PeerMessage(peer, report) for peer in (1, 2) for report in reports]
             actions = balancer.handle(
                 now,
-                [*events, api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS), api.TimerFired(str(balancer.timer_number))],
+                [
+                    *events,
+                    api.Arrival(f"a{old}", "quote", "ash", now + 400 * MS),
+                    api.TimerFired(str(balancer.timer_number)),
+                ],
             )
             for send in [a for a in actions if isinstance(a, api.Send)]:
                 result = (api.Result.OK, api.Result.CONNECT_FAILED)[old % 2]
