--- a/tests/etcd/test_drains.py
+++ b/tests/etcd/test_drains.py
@@ -133,7 +133,7 @@
         rolling = Rolling()
         node = await rolling.start(monkeypatch)
         if not called_off:
-            monkeypatch.setattr(node.upstream_set, "_strayed", lambda: None)
+            monkeypatch.setattr(node.upstream_set, "_on_targets_changed", lambda: None)
         port = await node.start()
         try:
             await until(lambda: len(node._hub.pools) == BOXES)
