--- a/bench/etcd_follow.py
+++ b/bench/etcd_follow.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from lanemux.rehearsal.etcd.server import StandIn
+from lanemux.rehearsal.etcd.server import FakeMember
 from lanemux.rehearsal.etcd.store import Change, Store
 
 HOST, PREFIX = "127.0.0.1", "/boxes/"
@@ -40,7 +40,7 @@
 class World:
     """The stand-in, the boxes, and the balancer's process."""
 
-    standin: StandIn
+    standin: FakeMember
     box: int  # the port that all boxes' addresses lead to
     folder: Path
     process: asyncio.subprocess.Process
@@ -71,7 +71,7 @@
     def write(self, rows: list[tuple[str, bytes | None]]) -> None:
         for start in range(0, len(rows), TXN):
             self.standin.store.write([(f"{PREFIX}{h}".encode(), v) for h, v in rows[start : start + TXN]])
-        self.standin.changed()
+        self.standin.notify_watchers()
 
     def memory_mb(self) -> float:
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
@@ -115,8 +115,8 @@
 @asynccontextmanager
 async def world(count: int, program: list[str]) -> AsyncIterator[World]:
     """A balancer that has taken up a list of so many boxes."""
-    standin = await StandIn(Store()).start()
-    standin.faults.fragment = FRAGMENT
+    standin = await FakeMember(Store()).start()
+    standin.faults.max_fragment_events = FRAGMENT
     with tempfile.TemporaryDirectory() as name:
         folder, port = Path(name), free_port()
         crowd = await asyncio.create_subprocess_exec(
@@ -148,7 +148,7 @@
             f'[etcd]\nendpoints = ["{HOST}:{standin.address[1]}"]\nprefix = "{PREFIX}"\n'
         )
         here = World(standin, box, folder, None, crowd)  # type: ignore[arg-type]
-        standin.wrote = here.wrote
+        standin.on_written = here.wrote
         here.write([(f"q-{i:06}", here.row()) for i in range(count)])
         with (folder / "log").open("wb") as log:
             here.process = await asyncio.create_subprocess_exec(
--- a/bench/seam_cost.py
+++ b/bench/seam_cost.py
@@ -30,10 +30,10 @@
 from pathlib import Path
 
 from lanemux.rehearsal import framing
-from lanemux.rehearsal.balancers import Place, configuration, free_port
+from lanemux.rehearsal.balancers import BalancerEndpoints, configuration, free_address
 from lanemux.rehearsal.command import find
 from lanemux.rehearsal.plan import Notice, draw, settings
-from lanemux.rehearsal.registry import Agent
+from lanemux.rehearsal.registry import RegistryAgent
 
 ROOT = Path(__file__).parent.parent
 # Short rounds: what drifts on a shared machine is then the same for both of a pair.
@@ -75,13 +75,13 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.framer = framing.Framer()
+        self.framer = framing.MessageParser()
 
     def data_received(self, data: bytes) -> None:
         for message in self.framer.feed(data):
-            look = " /stats " in message.first
+            look = " /stats " in message.start_line
             body = b'{"inflight": 0, "queue": 0}' if look else BODY
-            self.transport.write(framing.answer(200, body))  # type: ignore[attr-defined]
+            self.transport.write(framing.response(200, body))  # type: ignore[attr-defined]
 
 
 class Client:
@@ -100,7 +100,7 @@
     async def ask(self, until: float, pause_s: float) -> None:
         loop = asyncio.get_running_loop()
         reader, writer = self._reader, self._writer
-        framer = framing.Framer(answers=True)
+        framer = framing.MessageParser(responses=True)
         while loop.time() < until:
             self.count += 1
             writer.write(
@@ -133,12 +133,12 @@
 
 
 async def start(
-    side: Side, folder: Path, core: int, agent: Agent, place: Place, program: list[str]
+    side: Side, folder: Path, core: int, agent: RegistryAgent, place: BalancerEndpoints, program: list[str]
 ) -> asyncio.subprocess.Process:
     told = settings(draw(find("calm-short", ""), 1), 0)
     told["realms"] = [{"name": "brooklyn-desk", "share": 1.0}]
     path = folder / f"{side.name}.json"
-    path.write_text(json.dumps(configuration(side.name, place, "1", agent.listing(), told)))
+    path.write_text(json.dumps(configuration(side.name, place, "1", agent.snapshot(), told)))
     more = ["--operators", str(side.operators)] if "-m" in program else []
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -152,11 +152,11 @@
     )
 
 
-async def open_upstreams(agent: Agent) -> None:
+async def open_upstreams(agent: RegistryAgent) -> None:
     loop, plan = asyncio.get_running_loop(), draw(find("calm-short", ""), 1)
     for number in range(UPSTREAMS):
         server = await loop.create_server(Upstream, HOST, 0)
-        agent.tell(plan.boxes[number], server.sockets[0].getsockname()[:2], Notice(0, number, "up", 0), True)
+        agent.publish(plan.boxes[number], server.sockets[0].getsockname()[:2], Notice(0, number, "up", 0), True)
 
 
 async def load(clients: list[Client], pid: int, pause_s: float) -> tuple[float, float, int]:
@@ -178,14 +178,14 @@
     sides: tuple[Side, Side], folder: Path, program: list[str]
 ) -> AsyncIterator[dict[str, tuple[int, int]]]:
     """The balancers' ports and process numbers."""
-    agent = Agent(0, lambda: 0, 0, [])
+    agent = RegistryAgent(0, lambda: 0, 0, [])
     discovery = await agent.open(HOST)
     await open_upstreams(agent)
     cores = sorted(os.sched_getaffinity(0))
     found, processes = {}, []
     for number, side in enumerate(sides):
-        listen, peer = free_port(HOST), free_port(HOST, datagrams=True)
-        place = Place(listen, discovery, peer, [peer], peer)
+        listen, peer = free_address(HOST), free_address(HOST, datagrams=True)
+        place = BalancerEndpoints(listen, discovery, peer, [peer], peer)
         processes.append(await start(side, folder, cores[-1 - number], agent, place, program))
         found[side.name] = (listen[1], processes[-1].pid)
     try:
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -26,7 +26,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lanemux.rehearsal.balancers import Place, configuration, free_port
+from lanemux.rehearsal.balancers import BalancerEndpoints, configuration, free_address
 
 ROOT = Path(__file__).parent.parent
 HOST, NOBODY = "127.0.0.1", ("127.0.0.1", 9)  # of upstreams and discovery: a start asks nothing of them
@@ -66,7 +66,7 @@
 
 def told(size: int) -> dict[str, object]:
     """A configuration with so many balancers and known upstreams."""
-    own = free_port(HOST, datagrams=True)
+    own = free_address(HOST, datagrams=True)
     peers = [own, *((f"127.1.{i // 250}.{1 + i % 250}", 7946) for i in range(size - 1))]
     hosts = [
         {
@@ -87,7 +87,7 @@
         "profiles": [{"name": "read"}],
         "limits": {"peers": True, "send_cap": 3},
     }
-    place = Place((HOST, 0), NOBODY, own, peers, (HOST, 9))
+    place = BalancerEndpoints((HOST, 0), NOBODY, own, peers, (HOST, 9))
     return configuration("n0", place, "8c1f30d27a5be964", {"seq": 1, "whole": True, "hosts": hosts}, settings)
 
 
--- a/lanemux/rehearsal/balancers.py
+++ b/lanemux/rehearsal/balancers.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class BalancerEndpoints:
     """Where a balancer listens and whom it knows."""
 
     listen: Address
@@ -38,7 +38,12 @@
 
 
 def configuration(
-    name: str, place: Place, seed: str, known: dict[str, object], settings: dict[str, object], sockets: int = SOCKETS
+    name: str,
+    place: BalancerEndpoints,
+    seed: str,
+    known: dict[str, object],
+    settings: dict[str, object],
+    sockets: int = SOCKETS,
 ) -> dict[str, object]:
     """What a balancer finds in its configuration file (protocol page)."""
     return {
@@ -55,7 +60,7 @@
     }
 
 
-def free_port(host: str, datagrams: bool = False) -> Address:
+def free_address(host: str, datagrams: bool = False) -> Address:
     """An address of that host that is free now; the kit's hosts are its own, so it stays free."""
     if not datagrams:
         taken = bound((host, 0))
@@ -67,17 +72,23 @@
     return address
 
 
-class Balancer:
+class BalancerProcess:
     """One balancer's process, over its restarts."""
 
     def __init__(
-        self, number: int, command: Sequence[str], place: Place, folder: Path, settings: dict[str, object], seed: int
+        self,
+        number: int,
+        command: Sequence[str],
+        endpoints: BalancerEndpoints,
+        folder: Path,
+        settings: dict[str, object],
+        seed: int,
     ) -> None:
-        self.number, self.place = number, place
+        self.number, self.endpoints = number, endpoints
         self._command, self._folder, self._settings, self._seed = command, folder, settings, seed
         self._starts = 0
         self.process: subprocess.Popen[bytes] | None = None
-        self.meant_down = False  # killed or ended by the kit
+        self.expected_down = False  # killed or ended by the kit
 
     @property
     def log(self) -> Path:
@@ -86,9 +97,11 @@
     def start(self, known: dict[str, object]) -> None:
         """Start it with the list as it was last known."""
         self._starts += 1
-        self.meant_down = False
+        self.expected_down = False
         name = f"n{self.number}"
-        config = configuration(name, self.place, f"{self._seed:x}-{self.number}-{self._starts}", known, self._settings)
+        config = configuration(
+            name, self.endpoints, f"{self._seed:x}-{self.number}-{self._starts}", known, self._settings
+        )
         path = self._folder / f"balancer-{self.number}.json"
         path.write_text(json.dumps(config))
         temporary = self._folder / f"tmp-{self.number}"
@@ -101,9 +114,9 @@
             "RELAY_CONFIG": str(path),
             "TMPDIR": str(temporary),
         }
-        if self.place.operators:
+        if self.endpoints.operators:
             operators = self._folder / f"operators-{self.number}.toml"
-            operators.write_text(self.place.operators)
+            operators.write_text(self.endpoints.operators)
             environment["LANEMUX_OPERATORS"] = str(operators)
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
@@ -114,11 +127,11 @@
                 env=environment,  # type: ignore[arg-type]
             )
 
-    async def ready(self) -> bool:
+    async def wait_until_ready(self) -> bool:
         """Wait until it says that it is ready; False if it ends or takes too long."""
         end = asyncio.get_running_loop().time() + READY_S
         while self.process is not None and self.process.poll() is None:
-            if await _says_ready(self.place.listen):
+            if await _says_ready(self.endpoints.listen):
                 return True
             if asyncio.get_running_loop().time() > end:
                 return False
@@ -127,20 +140,20 @@
 
     @property
     def crashed(self) -> bool:
-        return not self.meant_down and self.process is not None and self.process.poll() is not None
+        return not self.expected_down and self.process is not None and self.process.poll() is not None
 
     def kill(self) -> None:
-        self.meant_down = True
+        self.expected_down = True
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
 
-    async def end_by(self, kill_at_s: float, signals: bool) -> str:
+    async def terminate(self, kill_at_s: float, signals: bool) -> str:
         """SIGTERM now and SIGKILL at that time of the loop's clock, with further signals in between if told so.
 
         Gives what was wrong with its end, or an empty text."""
         if self.process is None or self.process.poll() is not None:
             return ""
-        self.meant_down = True
+        self.expected_down = True
         self.process.send_signal(signal.SIGTERM)
         loop = asyncio.get_running_loop()
         while self.process.poll() is None and loop.time() < kill_at_s:
@@ -158,7 +171,7 @@
         """A planned end; gives what was wrong with it, or an empty text."""
         if self.process is None or self.process.poll() is not None:
             return ""
-        self.meant_down = True
+        self.expected_down = True
         self.process.send_signal(signal.SIGTERM)
         end = asyncio.get_running_loop().time() + LEAVE_S
         while self.process.poll() is None:
@@ -185,7 +198,7 @@
 STOLEN_FIELD = 8  # of the first line of /proc/stat: cpu user nice system idle iowait irq softirq steal
 
 
-def waited_ns(pid: int) -> int:
+def cpu_wait_ns(pid: int) -> int:
     """How long a process has waited for a processor so far (Linux, /proc/PID/schedstat); 0 if not told."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1])
@@ -193,7 +206,7 @@
         return 0
 
 
-def spent_s(pid: int) -> float:
+def cpu_time_s(pid: int) -> float:
     """Processor time of a process so far (Linux, /proc/PID/schedstat); 0 if not told."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
@@ -201,7 +214,7 @@
         return 0.0
 
 
-def pressed_ns() -> int:
+def cpu_pressure_ns() -> int:
     """How long anything on this machine has waited for a processor (Linux, /proc/pressure/cpu); 0 if not told."""
     try:
         return int(Path("/proc/pressure/cpu").read_text().splitlines()[0].rpartition("total=")[2]) * 1000
@@ -209,7 +222,7 @@
         return 0
 
 
-def stolen_s() -> float:
+def cpu_steal_s() -> float:
     """How long each processor of this machine was taken by its host so far, the mean in s (Linux, /proc/stat)."""
     try:
         total = int(Path("/proc/stat").read_text().splitlines()[0].split()[STOLEN_FIELD])
@@ -218,7 +231,7 @@
     return total / os.sysconf("SC_CLK_TCK") / (os.cpu_count() or 1)
 
 
-def usage(pid: int) -> tuple[int, float]:
+def descriptors_and_memory_mb(pid: int) -> tuple[int, float]:
     """Open descriptors and resident memory in MB of a process; zeros if it is gone."""
     try:
         descriptors = len(os.listdir(f"/proc/{pid}/fd"))
--- a/lanemux/rehearsal/box.py
+++ b/lanemux/rehearsal/box.py
@@ -47,12 +47,12 @@
     running: list[Job] = field(default_factory=list)
     queue: deque[Job] = field(default_factory=deque)
     frozen_until_ns: int = 0
-    stolen: float = 0.0  # share of the machine that another program takes
+    stolen_share: float = 0.0  # share of the machine that another program takes
     draining: bool = False
-    fallen: bool = False
+    crashed: bool = False
     worked_ns: float = 0.0  # since its start
     connections: int = 0
-    pushed_most: float = 0.0  # largest share of its budget in any window while it was cold
+    max_budget_share: float = 0.0  # largest share of its budget in any window while it was cold
     _window: deque[tuple[int, float]] = field(default_factory=deque)  # what was sent, and when
     _sent_ns: float = 0.0  # sum of the window
     _load: Load = field(default_factory=Load)
@@ -63,7 +63,7 @@
 
     # -- what it can do --
 
-    def warmth(self) -> float:
+    def warm_fraction(self) -> float:
         """The share of its capacity that it has: from cold_from to 1, by time or by work done."""
         if not self.cold:
             return 1.0
@@ -75,12 +75,12 @@
 
     def capacity(self) -> float:
         """Work a nanosecond that it could do now, undisturbed."""
-        return self.box.speed * self.fleet.cores * self.warmth()
+        return self.box.speed * self.fleet.cores * self.warm_fraction()
 
     def _rate(self) -> float:
         """Work a nanosecond that goes into each running job."""
         held, cores = len(self.running) + len(self.queue), self.fleet.cores
-        rate = self.capacity() * (1 - self.stolen)
+        rate = self.capacity() * (1 - self.stolen_share)
         rate *= 1 - self.fleet.full_tax * min(1.0, self.connections / self.fleet.connections)
         if held > self.box.thrash_at:
             rate *= 1 - self.box.thrash
@@ -111,7 +111,7 @@
                 finished.append(job)
         return finished
 
-    def next_ns(self) -> int | None:
+    def next_completion_ns(self) -> int | None:
         """When the next job may be done, as things stand; None: none is running."""
         if not self.running:
             return None
@@ -130,7 +130,7 @@
     def offer(self, work_ns: float, mean_ns: float) -> Job | None:
         """Take an attempt, or turn it away: the queue is full, or it drains. Both push a cold box."""
         self._push(min(work_ns, HEAVIEST * mean_ns))
-        if self.fallen or self.draining:
+        if self.crashed or self.draining:
             return None
         job = Job(work_ns)
         if len(self.running) < self.fleet.slots_per_core * self.fleet.cores:
@@ -148,10 +148,10 @@
             self._sent_ns -= self._window.popleft()[1]
         self._window.append((self.now_ns, work_ns))
         self._sent_ns += work_ns
-        if self.warmth() < 1:
+        if self.warm_fraction() < 1:
             budget = self.fleet.fall_multiple * self.capacity() * span + FALL_SLACK_NS
-            self.pushed_most = max(self.pushed_most, self._sent_ns / budget)
-            self.fallen = self.fallen or self._sent_ns > budget
+            self.max_budget_share = max(self.max_budget_share, self._sent_ns / budget)
+            self.crashed = self.crashed or self._sent_ns > budget
 
     def charge(self, work_ns: float) -> None:
         """Other work (a probe, a handshake) that is done before what is running goes on."""
--- a/lanemux/rehearsal/box_connection.py
+++ b/lanemux/rehearsal/box_connection.py
@@ -13,7 +13,7 @@
 from lanemux.rehearsal.box import Job
 
 if TYPE_CHECKING:
-    from lanemux.rehearsal.box_host import Host
+    from lanemux.rehearsal.box_host import BoxHost
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets the connection
 
@@ -21,9 +21,9 @@
 class Connection(asyncio.Protocol):
     """A balancer's connection to a box; one request at a time."""
 
-    def __init__(self, host: Host, balancer: int, unseen_ns: int) -> None:
+    def __init__(self, host: BoxHost, balancer: int, unseen_ns: int) -> None:
         self.host, self.balancer = host, balancer
-        self.framer = framing.Framer()
+        self.framer = framing.MessageParser()
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.job: Job | None = None
@@ -37,33 +37,33 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.host.add(self)
-        self._watched_ns = self.idle_since_ns = self.host.world.now()
+        self._watched_ns = self.idle_since_ns = self.host.context.now()
 
     def _earliest(self, back: int) -> int:
         """What has just been seen had not come at this time."""
-        look = self.host.world.look(back)
+        look = self.host.context.look(back)
         return look if look > self._watched_ns else self._unseen_ns
 
     def _began(self) -> int:
         """The first byte of what has just been seen had not been written before this."""
-        sight = self.host.world.sight
+        sight = self.host.context.sight
         if sight is not None and self.transport is not None:
-            return sight.began_ns(self.transport)
+            return sight.first_byte_sent_ns(self.transport)
         return self._earliest(1)
 
     def _open_until(self, back: int) -> int:
         """The balancer's end was open at this time."""
-        sight = self.host.world.sight
+        sight = self.host.context.sight
         if sight is not None and self.transport is not None:
-            return sight.open_ns(self.transport)
+            return sight.open_until_ns(self.transport)
         return self._earliest(back)
 
     def whole_ns(self) -> int:
         """What has just been seen was written by now, its last byte included."""
-        sight = self.host.world.sight
+        sight = self.host.context.sight
         if sight is not None and self.transport is not None:
-            return sight.whole_ns(self.transport)
-        return self.host.world.now()
+            return sight.last_byte_sent_ns(self.transport)
+        return self.host.context.now()
 
     def blind(self, since_ns: int) -> None:
         """Off the loop: the box is frozen or cut off."""
@@ -72,7 +72,7 @@
             self.transport.pause_reading()
 
     def see(self) -> None:
-        self._watched_ns = self.host.world.now()
+        self._watched_ns = self.host.context.now()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
             kept, self._kept = self._kept, []
@@ -83,7 +83,7 @@
         if self.host.still:
             self._kept.append(data)
             return
-        if not self.framer.begun:
+        if not self.framer.has_partial:
             self.first_lo_ns = self._began()
         try:
             messages = self.framer.feed(data)
@@ -112,9 +112,9 @@
         """Write an answer; the attempt it ends was open at the last look."""
         if self.attempt is not None:
             self.attempt.open_ns = max(self.attempt.whole_ns, self._open_until(0))
-            self.attempt.end_ns = self.host.world.now()
+            self.attempt.end_ns = self.host.context.now()
         self.attempt = self.job = None
-        self.idle_since_ns = self.host.world.now()
+        self.idle_since_ns = self.host.context.now()
         if self.transport is not None:
             self.transport.write(data)
 
--- a/lanemux/rehearsal/box_world.py
+++ b/lanemux/rehearsal/box_context.py
@@ -9,30 +9,30 @@
 from typing import Protocol
 
 from lanemux.rehearsal.books import BoxBooks
-from lanemux.rehearsal.looks import Looks
+from lanemux.rehearsal.loop_timing import PollTimes
 from lanemux.rehearsal.plan import Ask, Plan
 
 
 class Sight(Protocol):
     """What a loop knows exactly of a balancer's end of a connection, where it knows more than its looks tell."""
 
-    def began_ns(self, transport: asyncio.BaseTransport) -> int:
+    def first_byte_sent_ns(self, transport: asyncio.BaseTransport) -> int:
         """When the first of the bytes that were read last was written there."""
 
-    def whole_ns(self, transport: asyncio.BaseTransport) -> int:
+    def last_byte_sent_ns(self, transport: asyncio.BaseTransport) -> int:
         """And the last of them."""
 
-    def open_ns(self, transport: asyncio.BaseTransport) -> int:
+    def open_until_ns(self, transport: asyncio.BaseTransport) -> int:
         """Until when that end has been open; now, if it still is."""
 
 
 @dataclass(slots=True)
-class World:
+class BoxContext:
     """What all boxes share."""
 
     loop: asyncio.AbstractEventLoop
     plan: Plan
-    looks: Looks
+    looks: PollTimes
     books: BoxBooks
     zero_ns: int  # the run's start on the loop's clock
     asks: dict[str, Ask]  # by the id of each of their tries
@@ -46,7 +46,7 @@
 
     def look(self, back: int = 0) -> int:
         """When the loop looked at its sockets, `back` looks before the latest one."""
-        return self.looks.looks_ns[-1 - back] - self.zero_ns
+        return self.looks.poll_times_ns[-1 - back] - self.zero_ns
 
     def at(self, at_ns: int, do: Callable[..., object], *args: object) -> asyncio.TimerHandle:
         return self.loop.call_at((at_ns + self.zero_ns) / 1e9, do, *args)
--- a/lanemux/rehearsal/box_host.py
+++ b/lanemux/rehearsal/box_host.py
@@ -17,7 +17,7 @@
 from lanemux.rehearsal.books import NEVER, Attempt, Life, Oddity
 from lanemux.rehearsal.box import BoxModel, Job
 from lanemux.rehearsal.box_connection import RESET, Connection
-from lanemux.rehearsal.box_world import World
+from lanemux.rehearsal.box_context import BoxContext
 from lanemux.rehearsal.plan import MS, Ask, Box, attempt_work
 from lanemux.rehearsal.request_form import as_sent, body_of, digest_of
 
@@ -27,12 +27,12 @@
 PLUGS = 4  # connections that fill the queue of a machine that has vanished, so that no further one comes up
 
 
-class Host:
+class BoxHost:
     """One box: its process, its listeners, its connections."""
 
-    def __init__(self, world: World, number: int, addresses: list[Address]) -> None:
-        self.world, self.number, self.addresses = world, number, addresses
-        self.box: Box = world.plan.boxes[number]
+    def __init__(self, context: BoxContext, number: int, addresses: list[Address]) -> None:
+        self.context, self.number, self.addresses = context, number, addresses
+        self.box: Box = context.plan.boxes[number]
         self.model: BoxModel | None = None  # None: no process is there
         self.still = False  # frozen or cut off: the loop does not serve it
         self._listeners: list[socket.socket] = []
@@ -59,8 +59,8 @@
         except OSError as error:  # another process on this machine holds one of its addresses
             self._start_later(cold, error)
             return
-        now = self.world.now()
-        self.model = BoxModel(self.box, self.world.plan.scenario.fleet, now, cold, self.world.plan.cancels_queued)
+        now = self.context.now()
+        self.model = BoxModel(self.box, self.context.plan.scenario.fleet, now, cold, self.context.plan.cancels_queued)
         self._end_life("down")
         if cold:
             self._begin_life("cold")
@@ -70,7 +70,7 @@
         """At all of its addresses, or none."""
         try:
             for address in self.addresses:
-                listener = bound(address, self.world.socket)
+                listener = bound(address, self.context.socket)
                 self._listeners.append(listener)
                 listener.listen(BACKLOG)
         except OSError:
@@ -85,9 +85,9 @@
     def _start_later(self, cold: bool, error: OSError) -> None:
         self._start_tries += 1
         if self._start_tries < START_TRIES:
-            self.world.loop.call_later(START_PAUSE_S, self.start, cold)
+            self.context.loop.call_later(START_PAUSE_S, self.start, cold)
         else:
-            self.world.books.unstarted.append(f"box {self.box.host} could not start: {error}")
+            self.context.books.unstarted.append(f"box {self.box.host} could not start: {error}")
 
     def die(self) -> None:
         """The process is gone: its connections are reset, new ones refused."""
@@ -97,7 +97,7 @@
         for connection in list(self._connections):
             if connection.attempt is not None:
                 self._end(connection.attempt, "died")
-                connection.attempt.open_ns = max(connection.attempt.whole_ns, self.world.look())
+                connection.attempt.open_ns = max(connection.attempt.whole_ns, self.context.look())
                 connection.attempt = connection.job = None
             connection.reset()
         self._jobs.clear()
@@ -115,13 +115,13 @@
             self._begin_life("draining")
 
     def _fall(self) -> None:
-        now = self.world.now()
+        now = self.context.now()
         recent = Counter(
             a.balancer
-            for a in self.world.books.attempts
-            if a.box == self.number and a.whole_ns > now - int(self.world.plan.scenario.fleet.fall_ms * MS)
+            for a in self.context.books.attempts
+            if a.box == self.number and a.whole_ns > now - int(self.context.plan.scenario.fleet.fall_ms * MS)
         )
-        self.world.books.oddities.append(
+        self.context.books.oddities.append(
             Oddity(
                 now,
                 "cold",
@@ -133,7 +133,7 @@
         )
         self.die()
         self._begin_life("fallen")
-        self.world.fell(self.number, now)
+        self.context.fell(self.number, now)
 
     # -- freezing, and being cut off --
 
@@ -142,10 +142,10 @@
         if self.model is None or self.still:
             return
         self._work()
-        now = self.world.now()
+        now = self.context.now()
         self.model.freeze(now + for_ns)
         self._stand_still("frozen")
-        self._thaw = self.world.at(now + for_ns, self.thaw)
+        self._thaw = self.context.at(now + for_ns, self.thaw)
 
     def thaw(self) -> None:
         if self.model is not None and self.still:
@@ -169,7 +169,7 @@
         for listener in self._listeners:
             listener.listen(0)
             for _ in range(PLUGS):
-                plug = self.world.socket()
+                plug = self.context.socket()
                 plug.setblocking(False)
                 plug.connect_ex(listener.getsockname())
                 self._plugs.append(plug)
@@ -179,7 +179,7 @@
             self._unplug()
             for listener in self._listeners:
                 listener.listen(BACKLOG)
-            self.model.advance(self.world.now())
+            self.model.advance(self.context.now())
             self.model.frozen_until_ns = 0
             self._end_life("vanished")
             self.thaw()
@@ -190,7 +190,7 @@
         self._plugs.clear()
 
     def _stand_still(self, state: str) -> None:
-        now = self.world.now()
+        now = self.context.now()
         self.still = True
         self._unwatch()
         self._begin_life(state, now)
@@ -203,38 +203,38 @@
         """Another program takes a share of the machine."""
         if self.model is not None:
             self._work()
-            self.model.stolen = take
+            self.model.stolen_share = take
             self._begin_life("shared")
-            self.world.at(until_ns, self._alone)
+            self.context.at(until_ns, self._alone)
             self._schedule()
 
     def _alone(self) -> None:
         if self.model is not None:
             self._work()
-            self.model.stolen = 0.0
+            self.model.stolen_share = 0.0
             self._end_life("shared")
             self._schedule()
 
     def _begin_life(self, state: str, at_ns: int | None = None) -> None:
         if state not in self._life:
-            self._life[state] = Life(self.number, state, self.world.now() if at_ns is None else at_ns)
-            self.world.books.lives.append(self._life[state])
+            self._life[state] = Life(self.number, state, self.context.now() if at_ns is None else at_ns)
+            self.context.books.lives.append(self._life[state])
 
     def _end_life(self, state: str) -> None:
         life = self._life.pop(state, None)
         if life is not None:
-            life.to_ns = self.world.now()
+            life.to_ns = self.context.now()
 
     # -- connections --
 
     def _watch(self) -> None:
-        self._unseen_ns = self.world.now()
+        self._unseen_ns = self.context.now()
         for listener, balancer in zip(self._listeners, range(len(self._listeners)), strict=True):
-            self.world.loop.add_reader(listener, self._accept, listener, balancer)
+            self.context.loop.add_reader(listener, self._accept, listener, balancer)
 
     def _unwatch(self) -> None:
         for listener in self._listeners:
-            self.world.loop.remove_reader(listener)
+            self.context.loop.remove_reader(listener)
 
     def _accept(self, listener: socket.socket, balancer: int) -> None:
         for _ in range(ACCEPTS):
@@ -244,15 +244,15 @@
                 return
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            if len(self._connections) >= self.world.plan.scenario.fleet.connections:
+            if len(self._connections) >= self.context.plan.scenario.fleet.connections:
                 accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 accepted.close()
                 continue
             # What comes on it may have been sent before it was accepted, not before the look before that.
-            look = self.world.look(1)
+            look = self.context.look(1)
             connection = Connection(self, balancer, look if look > self._unseen_ns else self._frozen_from())
-            task: asyncio.Task[object] = self.world.loop.create_task(
-                self.world.loop.connect_accepted_socket(lambda c=connection: c, accepted)  # type: ignore[misc]
+            task: asyncio.Task[object] = self.context.loop.create_task(
+                self.context.loop.connect_accepted_socket(lambda c=connection: c, accepted)  # type: ignore[misc]
             )
             self._attaching[task] = None
             task.add_done_callback(self._attached)
@@ -261,7 +261,7 @@
         """The start of the latest time for which nothing was accepted."""
         spans = [
             life.from_ns
-            for life in self.world.books.lives
+            for life in self.context.books.lives
             if life.who == self.number and life.state in ("frozen", "vanished", "down")
         ]
         return max(spans, default=0)
@@ -277,7 +277,7 @@
             return
         self._connections[connection] = None
         self.model.connections = len(self._connections)
-        books = self.world.books
+        books = self.context.books
         books.opened += 1
         books.open_at_end += 1
         books.open_most = max(books.open_most, books.open_at_end)
@@ -287,13 +287,13 @@
     def remove(self, connection: Connection) -> None:
         if connection in self._connections:
             del self._connections[connection]
-            self.world.books.open_at_end -= 1
+            self.context.books.open_at_end -= 1
             if self.model is not None:
                 self.model.connections = len(self._connections)
 
     def sweep(self) -> None:
         """Close what has been idle for too long."""
-        oldest = self.world.now() - int(self.world.plan.scenario.fleet.idle_s * 1e9)
+        oldest = self.context.now() - int(self.context.plan.scenario.fleet.idle_s * 1e9)
         for connection in list(self._connections):
             idle = not self.still and connection.attempt is None and connection.idle_since_ns < oldest
             if idle and connection.transport is not None:
@@ -305,32 +305,32 @@
         """A whole request has come."""
         self._work()
         assert self.model is not None
-        path = message.first.split(" ")[1]
+        path = message.start_line.split(" ")[1]
         if connection.new:
             connection.new = False
             self.model.charge(self.box.handshake_ns)
         if path in ("/stats", "/health/live"):
-            self.world.books.probes += 1
+            self.context.books.probes += 1
             self.model.charge(self.box.probe_ns)
             load = self.model.report()
             report = json.dumps({"inflight": load.inflight, "queue": load.queue}).encode()
-            connection.answer(framing.answer(200, report if path == "/stats" else b""))
+            connection.answer(framing.response(200, report if path == "/stats" else b""))
             self._schedule()
             return
         name = message.headers.get("req-id", "")
-        ask = self.world.asks.get(name)
-        if ask is None or not as_sent(self.world.plan, ask, message):
-            self.world.books.oddities.append(
+        ask = self.context.asks.get(name)
+        if ask is None or not as_sent(self.context.plan, ask, message):
+            self.context.books.oddities.append(
                 Oddity(
-                    self.world.now(),
+                    self.context.now(),
                     "foreign",
-                    f"box {self.box.host} was sent {message.first[:120]!r} with "
+                    f"box {self.box.host} was sent {message.start_line[:120]!r} with "
                     f"{len(message.body)} bytes, which no caller sent in this form",
                     name,
                     self.number,
                 )
             )
-            connection.answer(framing.answer(400 if name else 404))
+            connection.answer(framing.response(400 if name else 404))
             return
         told = message.headers.get("req-deadline-ms", "")
         self._attempt(connection, name, ask, path, int(told) if told.isdecimal() else 0)
@@ -340,17 +340,17 @@
         attempt = Attempt(
             self.number, connection.balancer, name, path, connection.first_lo_ns, connection.whole_ns(), told_ms=told_ms
         )
-        self.world.books.attempts.append(attempt)
+        self.context.books.attempts.append(attempt)
         connection.attempt = attempt
-        work = attempt_work(self.world.plan, ask, self.number, self._seen[name])
+        work = attempt_work(self.context.plan, ask, self.number, self._seen[name])
         self._seen[name] += 1
-        mean = next(c.work_ms for c in self.world.plan.scenario.classes if c.name == ask.class_name) * MS
+        mean = next(c.work_ms for c in self.context.plan.scenario.classes if c.name == ask.class_name) * MS
         connection.job = self.model.offer(work, mean)
-        if self.model.fallen:
+        if self.model.crashed:
             self._fall()
         elif connection.job is None:
             attempt.how = "declined"
-            connection.answer(framing.answer(503, b"", {"Srv-Declined": "1"}))
+            connection.answer(framing.response(503, b"", {"Srv-Declined": "1"}))
         else:
             self._jobs[connection.job] = connection
             self._schedule()
@@ -364,37 +364,37 @@
             self._jobs.pop(job, None)
 
     def _end(self, attempt: Attempt, how: str) -> None:
-        attempt.how, attempt.end_ns = how, self.world.now()
+        attempt.how, attempt.end_ns = how, self.context.now()
 
     def _work(self) -> None:
         """Bring the model up to now, and answer what it has done."""
         if self.model is None or self.still:
             return
-        for job in self.model.advance(self.world.now()):
+        for job in self.model.advance(self.context.now()):
             connection = self._jobs.pop(job, None)
             if connection is not None and connection.attempt is not None:
                 self._done(connection, connection.attempt)
         if not self.model.cold:
             self._end_life("cold")
-        self.world.books.pushed_most = max(self.world.books.pushed_most, self.model.pushed_most)
+        self.context.books.pushed_most = max(self.context.books.pushed_most, self.model.max_budget_share)
 
     def _done(self, connection: Connection, attempt: Attempt) -> None:
         self._serial += 1
         if random.Random(f"{self.box.seed}/{attempt.id}/{self._seen[attempt.id]}").random() < self.box.errors:
             attempt.how = "error"
-            connection.answer(framing.answer(500))
+            connection.answer(framing.response(500))
             return
         body = body_of(attempt.id, self.box.host, self._serial)
         attempt.how, attempt.digest = "answered", digest_of(body)
-        connection.answer(framing.answer(200, body))
+        connection.answer(framing.response(200, body))
 
     def _schedule(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        due = self.model.next_ns() if self.model is not None and not self.still else None
+        due = self.model.next_completion_ns() if self.model is not None and not self.still else None
         if due is not None:
-            self._timer = self.world.at(due, self._due)
+            self._timer = self.context.at(due, self._due)
 
     def _due(self) -> None:
         self._work()
@@ -403,4 +403,4 @@
     def sample(self) -> None:
         if self.model is not None:
             held = len(self.model.running) + len(self.model.queue)
-            self.world.books.held.append((self.world.now(), self.number, held))
+            self.context.books.held.append((self.context.now(), self.number, held))
--- a/lanemux/rehearsal/boxes_process.py
+++ b/lanemux/rehearsal/boxes_process.py
@@ -10,9 +10,9 @@
 
 from lanemux.rehearsal.addresses import reserve
 from lanemux.rehearsal.books import BoxBooks
-from lanemux.rehearsal.box_world import World
+from lanemux.rehearsal.box_context import BoxContext
 from lanemux.rehearsal.boxes import Boxes
-from lanemux.rehearsal.looks import WatchedSelector, quiet_collector
+from lanemux.rehearsal.loop_timing import PollTimingSelector, disable_garbage_collector
 from lanemux.rehearsal.plan import draw
 from lanemux.rehearsal.scenario import Scenario
 
@@ -20,7 +20,7 @@
 def main(pipe: Connection, scenario: Scenario, seed: int, prefix: str) -> None:
     """Serve until told to stop. The parent is told the addresses, of boxes that fall, and the books."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to all processes; the parent ends this one
-    selector = WatchedSelector()
+    selector = PollTimingSelector()
     loop = asyncio.SelectorEventLoop(selector)
     asyncio.set_event_loop(loop)
     try:
@@ -31,27 +31,27 @@
         loop.close()
 
 
-async def _serve(pipe: Connection, scenario: Scenario, seed: int, prefix: str, looks: WatchedSelector) -> None:
+async def _serve(pipe: Connection, scenario: Scenario, seed: int, prefix: str, looks: PollTimingSelector) -> None:
     loop = asyncio.get_running_loop()
     plan = draw(scenario, seed)
     asks = {name: ask for ask in plan.asks for name in ask.ids}
-    world = World(
+    world = BoxContext(
         loop, plan, looks, BoxBooks(), int(loop.time() * 1e9), asks, lambda box, at: pipe.send(("fell", box, at))
     )
-    loop.set_exception_handler(lambda _, context: world.books.faults.append(fault_text(context)))
+    loop.set_exception_handler(lambda _, context: world.books.faults.append(describe_exception(context)))
     addresses = reserve(plan, prefix)
     boxes = Boxes(world, addresses)
-    boxes.open()
+    boxes.start_initial()
     pipe.send(("addresses", addresses, plan.digest()))
     _, world.zero_ns = await receive(loop, pipe)
-    quiet_collector()
-    boxes.begin()
+    disable_garbage_collector()
+    boxes.start_schedule()
     await receive(loop, pipe)
-    pipe.send(("books", boxes.end()))
+    pipe.send(("books", boxes.stop()))
     await asyncio.sleep(0)  # closed transports end in the loop's next turn
 
 
-def fault_text(context: dict[str, Any]) -> str:
+def describe_exception(context: dict[str, Any]) -> str:
     """What a callback or task of the kit let out, and where."""
     error = context.get("exception")
     last = traceback.extract_tb(error.__traceback__)[-1:] if error is not None else []
--- a/lanemux/rehearsal/callers.py
+++ b/lanemux/rehearsal/callers.py
@@ -22,30 +22,30 @@
 KEPT_IDLE = 64  # connections kept to one balancer
 
 
-class Front:
+class FrontRouter:
     """The plain layer before the balancers: deals tries out among those that it believes are there."""
 
     def __init__(self, rooms: list[str], addresses: list[Address]) -> None:
         self._rooms, self.addresses = rooms, addresses
-        self.known = set(range(len(addresses)))
-        self.ending: set[int] = set()  # told to end: open connections to them are still in use
+        self.available = set(range(len(addresses)))
+        self.terminating: set[int] = set()  # told to end: open connections to them are still in use
 
     def pick(self, room: str, draw: float) -> int:
-        near = [b for b in sorted(self.known) if self._rooms[b] == room] or sorted(self.known)
+        near = [b for b in sorted(self.available) if self._rooms[b] == room] or sorted(self.available)
         return near[int(draw * len(near))] if near else 0
 
 
-class Line(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A caller's connection to a balancer."""
 
     def __init__(self, callers: Callers, balancer: int) -> None:
         self.balancer = balancer
-        self.current: Attempted | None = None
+        self.current_try: Attempted | None = None
         self.used = False  # a request has been answered on it
-        self.sent = b""  # the last request
+        self.last_request = b""  # the last request
         self.left = False  # its caller has ended its sending, and reads nothing more
         self._callers = callers
-        self._framer = framing.Framer(answers=True)
+        self._framer = framing.MessageParser(responses=True)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -60,7 +60,7 @@
         return self._transport
 
     def send(self, attempted: Attempted, data: bytes) -> None:
-        self.current, self.sent = attempted, data
+        self.current_try, self.last_request = attempted, data
         if self._transport is not None:
             self._transport.write(data)
 
@@ -70,43 +70,45 @@
         try:
             messages = self._framer.feed(data)
         except framing.Unreadable as error:
-            self._callers.odd("lost", f"balancer {self.balancer} sent what is no answer: {error}", self.current)
+            self._callers.odd("lost", f"balancer {self.balancer} sent what is no answer: {error}", self.current_try)
             self.close()
             return
         for message in messages:
             self._answered(message)
-        if self.current is None and self._framer.begun and self.usable:
+        if self.current_try is None and self._framer.has_partial and self.usable:
             self._callers.odd("lost", f"balancer {self.balancer} sent bytes that nobody asked for", None)
             self.close()
 
     def _answered(self, message: framing.Message) -> None:
-        current, self.current = self.current, None
+        current, self.current_try = self.current_try, None
         if current is None:
             self._callers.odd(
-                "lost", f"balancer {self.balancer} sent an answer that nobody asked for: {message.first[:80]!r}", None
+                "lost",
+                f"balancer {self.balancer} sent an answer that nobody asked for: {message.start_line[:80]!r}",
+                None,
             )
             self.close()
             return
         self.used = True
-        if message.keeps:
+        if message.keep_alive:
             self._callers.keep(self)
         else:
             self.close()
         current.answered(message)
 
     def eof_received(self) -> None:
-        last = self._framer.end()
+        last = self._framer.finish()
         if last is not None:
             self._answered(last)
 
     def connection_lost(self, error: Exception | None) -> None:
         self._callers.forget(self)
-        current, self.current = self.current, None
+        current, self.current_try = self.current_try, None
         if current is not None:
-            current.broken(crossed=self.used and not self._framer.begun)
+            current.broken(crossed=self.used and not self._framer.has_partial)
 
     def close(self) -> None:
-        self.current = None
+        self.current_try = None
         self._callers.forget(self)
         if self._transport is not None:
             self._transport.close()
@@ -120,7 +122,7 @@
     ) -> None:
         self.ask, self.entry = ask, entry
         self._callers, self._after = callers, after
-        self._line: Line | None = None
+        self._line: ClientConnection | None = None
         self._moved_on = False  # its caller has given it up, or left
         self._again = False  # it was sent once more after its connection closed between requests
         leaves = ask.leaves_ns if not entry.number else 0
@@ -168,7 +170,7 @@
         if not half_ns or line is None or line.transport is None:
             self._close()
             return
-        line.current, line.left = None, True
+        line.current_try, line.left = None, True
         line.transport.write_eof()
         self._end("left")
         self._callers.later(half_ns, line.close)
@@ -215,16 +217,18 @@
 class Callers:
     """All callers of a run."""
 
-    def __init__(self, plan: Plan, front: Front, books: CallerBooks, zero_ns: int, grace_ns: int = GRACE_NS) -> None:
-        self.plan, self.front, self.books, self.zero_ns = plan, front, books, zero_ns
+    def __init__(
+        self, plan: Plan, front: FrontRouter, books: CallerBooks, zero_ns: int, grace_ns: int = GRACE_NS
+    ) -> None:
+        self.plan, self.front, self.records, self.zero_ns = plan, front, books, zero_ns
         self.grace_ns = grace_ns  # an answer is waited for so much longer than its deadline
         self._loop = asyncio.get_running_loop()
-        self._idle: dict[int, list[Line]] = {}
-        self._lines: dict[Line, None] = {}  # in the order in which they came up
+        self._idle: dict[int, list[ClientConnection]] = {}
+        self._lines: dict[ClientConnection, None] = {}  # in the order in which they came up
         self._tasks: dict[asyncio.Task[None], None] = {}
         self._next = 0
         self._timer: asyncio.TimerHandle | None = None
-        self.done = asyncio.Event()  # the last ask has been sent
+        self.all_sent = asyncio.Event()  # the last ask has been sent
         self.asked = 0
 
     def now(self) -> int:
@@ -239,14 +243,14 @@
         task.add_done_callback(lambda task: self._tasks.pop(task, None))
 
     def odd(self, rule: str, what: str, attempted: Attempted | None) -> None:
-        self.books.oddities.append(Oddity(self.now(), rule, what, attempted.entry.id if attempted else ""))
+        self.records.oddities.append(Oddity(self.now(), rule, what, attempted.entry.id if attempted else ""))
 
     # -- asks --
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Send every ask at its time."""
         if self._next >= len(self.plan.asks):
-            self.done.set()
+            self.all_sent.set()
             return
         self._timer = self._loop.call_at((self.zero_ns + self.plan.asks[self._next].at_ns) / 1e9, self._due)
 
@@ -256,9 +260,9 @@
             ask = self.plan.asks[self._next]
             self._next += 1
             self.asked += 1
-            self.books.late_ns.append(max(0, now - ask.at_ns))
+            self.records.late_ns.append(max(0, now - ask.at_ns))
             self._try(ask, 0)
-        self.begin()
+        self.start()
 
     def _try(self, ask: Ask, number: int) -> None:
         limit = ask.at_ns + int(
@@ -271,7 +275,7 @@
         if balancer is None:
             balancer = self.front.pick(self.plan.scenario.fleet.rooms[ask.room], ask.fronts[number])
         entry = Try(ask.number, number, ask.ids[number], balancer, target_of(ask), deadline_ns=self.now() + given_up)
-        self.books.tries.append(entry)
+        self.records.tries.append(entry)
         self.spawn(Attempted(self, ask, entry, given_up, self._after).send())
 
     def _after(self, attempted: Attempted) -> None:
@@ -295,16 +299,18 @@
         """A balancer that was told to end and still holds a resting connection, for a share of the tries."""
         if draw >= self.plan.scenario.callers.use_ending:
             return None
-        return next((b for b in sorted(self.front.ending) if any(line.usable for line in self._idle.get(b, ()))), None)
+        return next(
+            (b for b in sorted(self.front.terminating) if any(line.usable for line in self._idle.get(b, ()))), None
+        )
 
     # -- connections --
 
     @property
-    def lines(self) -> list[Line]:
+    def connections(self) -> list[ClientConnection]:
         """All connections that are up."""
         return list(self._lines)
 
-    def idle(self, balancer: int) -> Line | None:
+    def idle(self, balancer: int) -> ClientConnection | None:
         lines = self._idle.get(balancer, [])
         while lines:
             line = lines.pop()
@@ -312,25 +318,25 @@
                 return line
         return None
 
-    async def connect(self, balancer: int) -> Line | None:
+    async def connect(self, balancer: int) -> ClientConnection | None:
         try:
             async with asyncio.timeout(CONNECT_S):
                 _, line = await self._loop.create_connection(
-                    lambda: Line(self, balancer), *self.front.addresses[balancer]
+                    lambda: ClientConnection(self, balancer), *self.front.addresses[balancer]
                 )
         except (OSError, TimeoutError):
             return None
         self._lines[line] = None
         return line
 
-    def keep(self, line: Line) -> None:
+    def keep(self, line: ClientConnection) -> None:
         lines = self._idle.setdefault(line.balancer, [])
         if line.usable and len(lines) < KEPT_IDLE:
             lines.append(line)
         else:
             line.close()
 
-    def forget(self, line: Line) -> None:
+    def forget(self, line: ClientConnection) -> None:
         self._lines.pop(line, None)
         lines = self._idle.get(line.balancer, [])
         if line in lines:
--- a/lanemux/rehearsal/calls/command.py
+++ b/lanemux/rehearsal/calls/command.py
@@ -19,7 +19,7 @@
 from lanemux.rehearsal.calls.library import Counts, NoCompiler, build
 from lanemux.rehearsal.calls.life import Life, play
 from lanemux.rehearsal.calls.rules import BadRules, Rule, combination, one_by_one, read, written
-from lanemux.rehearsal.looks import LatenessLog
+from lanemux.rehearsal.loop_timing import LoopLagLog
 
 ALL_GOOD, SOME_BAD, BAD_USE, NOT_VALID = 0, 1, 2, 3
 PLACES = 60  # of one kind of call that fail, a life each
@@ -84,7 +84,7 @@
     """Each life, so many at once; in the order of `lives`."""
     played: dict[int, Life] = {}
     waiting = iter(enumerate(lives))
-    lateness = LatenessLog(asyncio.get_running_loop())
+    lateness = LoopLagLog(asyncio.get_running_loop())
 
     async def play_once(number: int, rules: Sequence[Rule]) -> Life:
         place = folder / f"life-{number}"
--- a/lanemux/rehearsal/calls/life.py
+++ b/lanemux/rehearsal/calls/life.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lanemux.rehearsal.balancers import stolen_s, waited_ns
+from lanemux.rehearsal.balancers import cpu_steal_s, cpu_wait_ns
 from lanemux.rehearsal.calls import tcp_table
 from lanemux.rehearsal.calls.library import Counts, environment, read_counts
 from lanemux.rehearsal.calls.process_state import is_runnable, state_of
 from lanemux.rehearsal.calls.rules import Rule
-from lanemux.rehearsal.framing import Framer, Message, Unreadable
-from lanemux.rehearsal.looks import LatenessLog
+from lanemux.rehearsal.framing import Message, MessageParser, Unreadable
+from lanemux.rehearsal.loop_timing import LoopLagLog
 from lanemux.rehearsal.plan import SECOND
 from lanemux.rehearsal.validity import LATE_MOST_NS, WAITED_MOST
 
@@ -112,7 +112,7 @@
         return f"{self.host}:{server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object) -> None:
-        framer = Framer()
+        framer = MessageParser()
         try:
             while data := await reader.read(READ_BYTES):
                 for message in framer.feed(data):
@@ -127,7 +127,7 @@
         return message.headers.get("req-id", "").encode()
 
     async def _answer_list(self, message: Message) -> bytes:
-        if "wait_ms" in message.first:
+        if "wait_ms" in message.start_line:
             await asyncio.sleep(1.0)
             return b'{"seq":1,"whole":false,"hosts":[]}'
         return json.dumps(self.known()).encode()
@@ -163,23 +163,23 @@
     """Whether this machine, and not the balancer, was slow in a span: the kit's loop was late, the balancer waited for
     a processor, or the machine's host took its processors. The bounds are those of the rehearsals."""
 
-    def __init__(self, lateness: LatenessLog, pid: int) -> None:
+    def __init__(self, lateness: LoopLagLog, pid: int) -> None:
         self._lateness, self.pid = lateness, pid
         self._begun_s = asyncio.get_running_loop().time()
-        self._waited_ns, self._stolen_s = waited_ns(pid), stolen_s()
+        self._waited_ns, self._stolen_s = cpu_wait_ns(pid), cpu_steal_s()
 
     async def look(self) -> Shortage:
         """What the span lacked so far. The kernel counts a wait for a processor once it is over: the end of one that
         goes on is waited for, a while."""
         loop = asyncio.get_running_loop()
-        span_s, late_s = loop.time() - self._begun_s, self._lateness.most_s(self._begun_s)
-        first_ns, end_s = waited_ns(self.pid), loop.time() + WAIT_ENDS_WITHIN_S
-        while is_runnable(self.pid) and waited_ns(self.pid) == first_ns and loop.time() < end_s:
+        span_s, late_s = loop.time() - self._begun_s, self._lateness.max_since_s(self._begun_s)
+        first_ns, end_s = cpu_wait_ns(self.pid), loop.time() + WAIT_ENDS_WITHIN_S
+        while is_runnable(self.pid) and cpu_wait_ns(self.pid) == first_ns and loop.time() < end_s:
             await asyncio.sleep(LOOK_S)
         return Shortage(
             kit_late_s=late_s,
-            balancer_waited_s=(waited_ns(self.pid) - self._waited_ns) / SECOND,
-            stolen_s=stolen_s() - self._stolen_s,
+            balancer_waited_s=(cpu_wait_ns(self.pid) - self._waited_ns) / SECOND,
+            stolen_s=cpu_steal_s() - self._stolen_s,
             span_s=span_s,
         )
 
@@ -224,7 +224,7 @@
         reader, writer = self._streams
         number = next(_numbers)
         head = f"GET /read/x HTTP/1.1\r\nHost: a\r\nReq-Id: {number:x}\r\nReq-Deadline-Ms: {DEADLINE_MS}\r\n\r\n"
-        framer = Framer(answers=True)
+        framer = MessageParser(responses=True)
         try:
             writer.write(head.encode())
             async with asyncio.timeout(ANSWER_WITHIN_S):
@@ -236,7 +236,7 @@
             return f"connection ended, no whole answer ({type(error).__name__})"
         answer = messages[0]
         self._life.answered[answer.status] = self._life.answered.get(answer.status, 0) + 1
-        if not answer.keeps:
+        if not answer.keep_alive:
             self.close()
         if answer.status == 200 and answer.body != f"{number:x}".encode():
             return "an answer that its upstream did not make"
@@ -284,7 +284,7 @@
     library: Path,
     folder: Path,
     host: str,
-    lateness: LatenessLog,
+    lateness: LoopLagLog,
     seed: int = 0,
 ) -> Life:
     """Start `command` on that loopback host, ask it, reload it, end it, while calls fail as the rules say."""
--- a/lanemux/rehearsal/command.py
+++ b/lanemux/rehearsal/command.py
@@ -227,7 +227,7 @@
 def _progress(at_s: float, callers: Callers) -> None:
     whole = callers.plan.scenario.seconds
     print(
-        f"\r{min(at_s, whole):5.0f} of {whole:.0f} s   {callers.asked} asks   {len(callers.books.tries)} tries ",
+        f"\r{min(at_s, whole):5.0f} of {whole:.0f} s   {callers.asked} asks   {len(callers.records.tries)} tries ",
         end="",
         file=sys.stderr,
         flush=True,
--- a/lanemux/rehearsal/etcd/agent.py
+++ b/lanemux/rehearsal/etcd/agent.py
@@ -13,7 +13,7 @@
 
 from lanemux.rehearsal.addresses import Address
 from lanemux.rehearsal.books import Told
-from lanemux.rehearsal.etcd.server import Listen, StandIn
+from lanemux.rehearsal.etcd.server import FakeMember, Listen
 from lanemux.rehearsal.etcd.store import Change, Store
 from lanemux.rehearsal.plan import MS, Box, Happening, Notice
 
@@ -37,8 +37,8 @@
         self._store = store
         self._open: dict[str, list[tuple[int, Told]]] = {}  # host -> (revision, row) not written yet
         self._rows: dict[str, dict[str, object]] = {}
-        self._member = StandIn(store, listen=listen)
-        self._member.wrote = self._wrote
+        self._member = FakeMember(store, listen=listen)
+        self._member.on_written = self._wrote
         self._tasks: dict[asyncio.Task[None], None] = {}
 
     async def open(self, host: str) -> Address:
@@ -50,12 +50,12 @@
             task.cancel()
         await self._member.stop()
 
-    def operators(self) -> str:
+    def operators_toml(self) -> str:
         """What the balancer's operators' file says."""
         host, port = self._member.address
         return f'[etcd]\nendpoints = ["{host}:{port}"]\nprefix = "{self.prefix}"\n'
 
-    def tell(self, box: Box, dial: Address, notice: Notice, first: bool = False) -> None:
+    def publish(self, box: Box, dial: Address, notice: Notice, first: bool = False) -> None:
         """The store has news; those who watch hear it at once."""
         born_ms = 0 if not notice.born_ns else self._wall_zero_ms + notice.born_ns // MS
         row: dict[str, object] = {
@@ -79,13 +79,13 @@
         revision = self._store.write([(f"{self.prefix}{box.host}".encode(), value)])
         if not first:
             self._open.setdefault(box.host, []).append((revision, told))
-        self._member.changed()
+        self._member.notify_watchers()
 
-    def listing(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """The whole list in discovery's form, for the configuration."""
         return {"seq": 1, "whole": True, "hosts": [{"host": host, **row} for host, row in self._rows.items()]}
 
-    def upset(self, happening: Happening) -> None:
+    def inject_fault(self, happening: Happening) -> None:
         """Something goes wrong with this member."""
         match happening.what:
             case "drop":
@@ -111,7 +111,7 @@
         self._member.faults.silent = True
         await asyncio.sleep(seconds)
         self._member.faults.silent = False
-        self._member.changed()
+        self._member.notify_watchers()
 
     async def _compact(self) -> None:
         """History goes while the watch is away."""
--- a/lanemux/rehearsal/etcd/mangler.py
+++ b/lanemux/rehearsal/etcd/faulty_proxy.py
@@ -9,15 +9,15 @@
 READ = 64 * 1024  # bytes at once
 
 
-class Mangler:
+class FaultyProxy:
     """Passes on what comes to `address`; its fields may change at any time."""
 
     def __init__(self, to: tuple[str, int], seed: int = 1) -> None:
         self.to = to
         self.address = ("", 0)
-        self.most = 0  # bytes passed on to the client at once, drawn from 1 to this; 0: all
-        self.cut_after = -1  # bytes to the client after which each connection is reset; -1: never
-        self.opened = 0
+        self.max_chunk = 0  # bytes passed on to the client at once, drawn from 1 to this; 0: all
+        self.reset_after_bytes = -1  # bytes to the client after which each connection is reset; -1: never
+        self.connections_opened = 0
         self._rng = random.Random(seed)
         self._free = asyncio.Event()
         self._free.set()
@@ -25,7 +25,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
 
-    async def start(self, host: str = "127.0.0.1") -> Mangler:
+    async def start(self, host: str = "127.0.0.1") -> FaultyProxy:
         self._server = await asyncio.start_server(self._serve, host, 0)
         self.address = self._server.sockets[0].getsockname()
         return self
@@ -48,7 +48,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
+        self.connections_opened += 1
         try:
             there_reader, there_writer = await asyncio.open_connection(*self.to)
         except OSError:
@@ -77,13 +77,13 @@
             while data := await reader.read(READ):
                 await self._free.wait()
                 while data:
-                    size = self._rng.randint(1, self.most) if to_client and self.most else len(data)
-                    if to_client and self.cut_after >= 0:
-                        size = min(size, self.cut_after - passed)
+                    size = self._rng.randint(1, self.max_chunk) if to_client and self.max_chunk else len(data)
+                    if to_client and self.reset_after_bytes >= 0:
+                        size = min(size, self.reset_after_bytes - passed)
                         if size <= 0:
                             return
                     writer.write(data[:size])
                     await writer.drain()
                     passed, data = passed + size, data[size:]
-                    if to_client and self.most:
+                    if to_client and self.max_chunk:
                         await asyncio.sleep(0)
--- a/lanemux/rehearsal/etcd/server.py
+++ b/lanemux/rehearsal/etcd/server.py
@@ -14,7 +14,7 @@
 from grpclib.server import Server
 
 from lanemux.rehearsal.etcd import wire
-from lanemux.rehearsal.etcd.store import Change, Compacted, Future, Store
+from lanemux.rehearsal.etcd.store import Change, Compacted, FutureRevision, Store
 
 MAX_WATCHERS = 100
 ENDLESS_PAGE = 64  # keys of a page of a list without end
@@ -42,11 +42,11 @@
     refuse_lists: str = ""  # lists end with this text as UNAVAILABLE
     refuse_watches: str = ""  # watches are cancelled with this reason
     silent: bool = False  # watches stay open and say nothing
-    behind: int = 0  # so many revisions that this member lags; its watches stand still
-    endless: bool = False  # a list goes on for ever
-    fragment: int = 0  # events of one response at most, where the watcher takes fragments; 0: all
-    huge: int = 0  # bytes of padding in a watch response
-    tokens_run_out: bool = False  # the next call with a token is told that it's invalid
+    lag_revisions: int = 0  # so many revisions that this member lags; its watches stand still
+    endless_list: bool = False  # a list goes on for ever
+    max_fragment_events: int = 0  # events of one response at most, where the watcher takes fragments; 0: all
+    padding_bytes: int = 0  # bytes of padding in a watch response
+    expire_token: bool = False  # the next call with a token is told that it's invalid
 
 
 class Watcher:
@@ -58,7 +58,7 @@
         self.fragments = fragments
 
 
-class StandIn:
+class FakeMember:
     """One member of a stand-in cluster. Several may share a store."""
 
     def __init__(self, store: Store, user: str = "", password: str = "", listen: Listen = socket.create_server) -> None:
@@ -66,9 +66,11 @@
         self._listen = listen
         self.faults = Faults()
         self.lists = self.watches = self.logins = 0  # calls that came
-        self.starts: list[int] = []  # the revision that each watch asked to begin with
+        self.watch_start_revisions: list[int] = []  # the revision that each watch asked to begin with
         self.address = ("", 0)
-        self.wrote: Callable[[Sequence[Change], int], None] = lambda changes, revision: None  # see `_range`, `_send`
+        self.on_written: Callable[[Sequence[Change], int], None] = lambda changes, revision: (
+            None
+        )  # see `_range`, `_send`
         self._user, self._password = user, password
         self._token = 0  # the last one given
         self._server: Server | None = None
@@ -78,7 +80,7 @@
 
     # -- life --
 
-    async def start(self, host: str = "127.0.0.1", port: int = 0) -> StandIn:
+    async def start(self, host: str = "127.0.0.1", port: int = 0) -> FakeMember:
         listener = self._listen((host, port))
         self.address = listener.getsockname()
         self._server = Server([self], codec=Raw())
@@ -98,7 +100,7 @@
         for task in list(self._handlers):
             task.cancel()
 
-    def changed(self) -> None:
+    def notify_watchers(self) -> None:
         """The store has changed: watchers are told in the loop's next turn."""
         news, self._news = self._news, asyncio.Event()
         news.set()
@@ -115,7 +117,7 @@
 
     @property
     def _revision(self) -> int:
-        return max(1, self.store.revision - self.faults.behind)
+        return max(1, self.store.revision - self.faults.lag_revisions)
 
     def _header(self) -> bytes:
         return wire.message(1, wire.field(1, self.store.cluster) + wire.field(2, 1) + wire.field(3, self._revision))
@@ -125,8 +127,8 @@
         if not self._user:
             return
         token = dict(stream.metadata).get("token")
-        if self.faults.tokens_run_out or token != f"t{self._token}" or not self._token:
-            self.faults.tokens_run_out = False
+        if self.faults.expire_token or token != f"t{self._token}" or not self._token:
+            self.faults.expire_token = False
             self._token += 1
             raise GRPCError(Status.UNAUTHENTICATED, "etcdserver: invalid auth token")
 
@@ -145,7 +147,7 @@
         if self.faults.refuse_lists:
             raise GRPCError(Status.UNAVAILABLE, self.faults.refuse_lists)
         begin, end, limit = wire.octets(asked, 1), wire.octets(asked, 2), wire.whole(asked, 3)
-        if self.faults.endless:
+        if self.faults.endless_list:
             rows = [Change(begin + b"%03d" % i, b"{}", 1, 1) for i in range(ENDLESS_PAGE)]
             await stream.send_message(self._header() + _kvs(2, rows) + wire.field(3, 1))
             return
@@ -153,14 +155,14 @@
             rows = self.store.rows(begin, end, wire.whole(asked, 4), limit)
         except Compacted:
             raise GRPCError(Status.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted") from None
-        except Future:
+        except FutureRevision:
             raise GRPCError(Status.OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision") from None
         more = bool(limit) and len(rows) > limit
-        # A linearizable list is never behind: the member first catches up.
+        # A linearizable list is never lag_revisions: the member first catches up.
         header = wire.message(1, wire.field(1, self.store.cluster) + wire.field(3, self.store.revision))
         await stream.send_message(header + _kvs(2, rows[:limit] if more else rows) + wire.field(3, int(more)))
         if not more:
-            self.wrote((), self.store.revision)  # all up to that revision, deletions too
+            self.on_written((), self.store.revision)  # all up to that revision, deletions too
 
     async def _watch(self, stream: Any) -> None:
         self.watches += 1
@@ -187,7 +189,7 @@
                 wire.whole(create, 3) or self.store.revision + 1,
                 bool(wire.whole(create, 8)),
             )
-            self.starts.append(watcher.next)
+            self.watch_start_revisions.append(watcher.next)
             if len(watchers) >= MAX_WATCHERS:
                 raise GRPCError(Status.RESOURCE_EXHAUSTED, "too many watchers")
             head = self._header() + wire.field(2, watcher.number)
@@ -196,7 +198,7 @@
                 await stream.send_message(head + wire.field(4, 1) + wire.field(6, self.faults.refuse_watches))
             else:
                 watchers.append(watcher)
-                self.changed()
+                self.notify_watchers()
         elif 3 in asked and not self.faults.silent:
             await stream.send_message(self._header() + wire.field(2, -1))
 
@@ -204,7 +206,7 @@
         """Tell each watcher what is new, for as long as the stream lasts."""
         while True:
             news = self._news
-            if not (self.faults.silent or self.faults.behind):
+            if not (self.faults.silent or self.faults.lag_revisions):
                 for watcher in list(watchers):
                     await self._send(stream, watcher, watchers)
             await news.wait()
@@ -220,14 +222,16 @@
         watcher.next = max(watcher.next, self.store.revision + 1)
         if not changes:
             return
-        most = self.faults.fragment if watcher.fragments and self.faults.fragment else len(changes)
+        most = (
+            self.faults.max_fragment_events if watcher.fragments and self.faults.max_fragment_events else len(changes)
+        )
         for start in range(0, len(changes), most):
             part = changes[start : start + most]
             last = start + most >= len(changes)
             await stream.send_message(
-                head + wire.field(7, int(not last)) + _events(part) + wire.field(99, b"x" * self.faults.huge)
+                head + wire.field(7, int(not last)) + _events(part) + wire.field(99, b"x" * self.faults.padding_bytes)
             )
-            self.wrote(part, 0)
+            self.on_written(part, 0)
 
 
 def _kv(change: Change) -> bytes:
--- a/lanemux/rehearsal/etcd/store.py
+++ b/lanemux/rehearsal/etcd/store.py
@@ -14,7 +14,7 @@
     """The revision asked for is no more; `args[0]` is the one from which history is kept."""
 
 
-class Future(Exception):
+class FutureRevision(Exception):
     """The revision asked for is yet to come."""
 
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Saved:
+class Backup:
     """A backup."""
 
     revision: int
@@ -86,7 +86,7 @@
     def compact(self, revision: int) -> None:
         """Forget history up to and with a revision; what stands then stays."""
         if not self.compacted < revision <= self.revision:
-            raise Compacted(self.compacted) if revision <= self.compacted else Future(revision)
+            raise Compacted(self.compacted) if revision <= self.compacted else FutureRevision(revision)
         self.compacted = revision
         # Of the revision itself, deletions are lost too: up to etcd 3.4.31 and 3.5.12 a watch from it misses them.
         self._log = [
@@ -105,11 +105,11 @@
                 del self._versions[key]
                 del self._keys[bisect_left(self._keys, key)]
 
-    def backup(self) -> Saved:
-        return Saved(self.revision, self.rows())
+    def backup(self) -> Backup:
+        return Backup(self.revision, self.rows())
 
     @classmethod
-    def restored(cls, saved: Saved, cluster: int) -> Store:
+    def from_backup(cls, saved: Backup, cluster: int) -> Store:
         """What was saved; a restored cluster has another id, unless it is told to keep its own."""
         store = cls(cluster)
         store.revision = store.compacted = saved.revision
@@ -123,7 +123,7 @@
     def rows(self, begin: bytes = b"", end: bytes = b"\xff" * 8, revision: int = 0, limit: int = 0) -> list[Change]:
         """The keys in [begin, end) as of a revision (0: the newest), one more than `limit` to show that there are."""
         if revision > self.revision:
-            raise Future(revision)
+            raise FutureRevision(revision)
         if 0 < revision < self.compacted:
             raise Compacted(self.compacted)
         found: list[Change] = []
--- a/lanemux/rehearsal/framing.py
+++ b/lanemux/rehearsal/framing.py
@@ -21,34 +21,34 @@
 class Message:
     """A request or an answer; header names in lower case, the last of several counts."""
 
-    first: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
     @property
     def status(self) -> int:
         """An answer's status code."""
-        word = self.first.split(" ", 2)[1:2]
+        word = self.start_line.split(" ", 2)[1:2]
         if not word or not (word[0].isascii() and word[0].isdigit() and len(word[0]) == 3):
-            raise Unreadable(f"no status: {self.first[:80]!r}")
+            raise Unreadable(f"no status: {self.start_line[:80]!r}")
         return int(word[0])
 
     @property
-    def keeps(self) -> bool:
+    def keep_alive(self) -> bool:
         """The connection may carry another message."""
-        return self.headers.get("connection", "").lower() != "close" and not self.first.startswith("HTTP/1.0")
+        return self.headers.get("connection", "").lower() != "close" and not self.start_line.startswith("HTTP/1.0")
 
 
-class Framer:
-    """Cuts a connection's bytes into messages. `answers`: they come from a server, and may be chunked."""
+class MessageParser:
+    """Cuts a connection's bytes into messages. `responses`: they come from a server, and may be chunked."""
 
-    def __init__(self, answers: bool = False) -> None:
-        self._answers = answers
+    def __init__(self, responses: bool = False) -> None:
+        self._answers = responses
         self._data = bytearray()
         self._head: Message | None = None
 
     @property
-    def begun(self) -> bool:
+    def has_partial(self) -> bool:
         """Bytes of a message that is not whole yet are here."""
         return bool(self._data) or self._head is not None
 
@@ -57,11 +57,11 @@
         self._data += data
         found = []
         while (message := self._next()) is not None:
-            if not (self._answers and message.first.split(" ")[1:2] and 100 <= message.status < 200):
+            if not (self._answers and message.start_line.split(" ")[1:2] and 100 <= message.status < 200):
                 found.append(message)  # 1xx only announces the answer
         return found
 
-    def end(self) -> Message | None:
+    def finish(self) -> Message | None:
         """The connection ended: an answer without a length is whole now."""
         head = self._head
         if head is None or not self._answers or "content-length" in head.headers or _chunked(head):
@@ -154,7 +154,7 @@
     return "\r\n".join(lines).encode("latin-1") + (body or b"")
 
 
-def answer(status: int, body: bytes = b"", headers: Mapping[str, str] | None = None) -> bytes:
+def response(status: int, body: bytes = b"", headers: Mapping[str, str] | None = None) -> bytes:
     """An answer with its length."""
     lines = [
         f"HTTP/1.1 {status} {'OK' if status == 200 else 'Answer'}",
--- a/lanemux/rehearsal/looks.py
+++ b/lanemux/rehearsal/loop_timing.py
@@ -14,26 +14,26 @@
 LATE_KEPT = 10_000  # entries
 
 
-class Looks(Protocol):
+class PollTimes(Protocol):
     """The last three looks of a loop at its sockets, in nanoseconds of its clock, the latest one last."""
 
-    looks_ns: list[int]
+    poll_times_ns: list[int]
 
 
-class WatchedSelector(selectors.EpollSelector):
+class PollTimingSelector(selectors.EpollSelector):
     """Notes when each of the last looks came back. What a look reports was not there at the one before it."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.looks_ns = [0, 0, 0]
+        self.poll_times_ns = [0, 0, 0]
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(timeout)
-        self.looks_ns = [*self.looks_ns[1:], time.monotonic_ns()]
+        self.poll_times_ns = [*self.poll_times_ns[1:], time.monotonic_ns()]
         return ready
 
 
-class Lateness:
+class LoopLagRecorder:
     """Measures how late a loop runs what is due."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, book: list[int]) -> None:
@@ -51,7 +51,7 @@
         self._handle.cancel()
 
 
-class LatenessLog:
+class LoopLagLog:
     """How late a loop ran what was due, of late; for questions about a span."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -67,7 +67,7 @@
         self._due = now + TICK_S
         self._handle = self._loop.call_at(self._due, self._tick)
 
-    def most_s(self, since: float) -> float:
+    def max_since_s(self, since: float) -> float:
         """The most since that time of the loop, what is overdue now included."""
         overdue = self._loop.time() - self._due
         return max(0.0, overdue, *(late for at, late in self._late if at >= since))
@@ -77,7 +77,7 @@
         self._handle.cancel()
 
 
-def quiet_collector() -> None:
+def disable_garbage_collector() -> None:
     """Switch the cyclic garbage collector off: passes over the growing books stood still for some 40 ms.
 
     The books are bounded by the scenario's asks, and what a run leaves in cycles is small beside them."""
--- a/lanemux/rehearsal/page.py
+++ b/lanemux/rehearsal/page.py
@@ -11,7 +11,7 @@
 
 import plotly.graph_objects as go
 
-from lanemux.rehearsal.boxes import SAMPLE_S
+from lanemux.rehearsal.boxes import LOAD_SAMPLE_INTERVAL_S
 from lanemux.rehearsal.plan import SECOND
 from lanemux.rehearsal.report import as_text
 from lanemux.rehearsal.run import Run
@@ -36,7 +36,7 @@
     "fallen": "pushed over",
 }
 SMOOTH = 4  # half seconds over which the service is averaged: single ones hold a few asks of a class
-SAMPLE_NS = int(SAMPLE_S * SECOND)
+SAMPLE_NS = int(LOAD_SAMPLE_INTERVAL_S * SECOND)
 ROW_PX = 16  # of a box
 MARKED = 300  # violations drawn; the table has their number
 STYLE = """
--- a/lanemux/rehearsal/process_monitor.py
+++ b/lanemux/rehearsal/process_monitor.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lanemux.rehearsal.balancers import spent_s, usage, waited_ns
+from lanemux.rehearsal.balancers import cpu_time_s, cpu_wait_ns, descriptors_and_memory_mb
 from lanemux.rehearsal.books import CallerBooks
 
 PROCESSES_A_TURN = 4  # of the loop, whose callers must not wait for a look at hundreds
@@ -37,7 +37,7 @@
                 await asyncio.sleep(0)
 
     def _look_at(self, pid: int, balancer: bool, counts: bool) -> None:
-        found = _Look(time.monotonic_ns(), waited_ns(pid), spent_s(pid))
+        found = _Look(time.monotonic_ns(), cpu_wait_ns(pid), cpu_time_s(pid))
         before = self._last.get(pid)
         self._last[pid] = found
         if before is not None and found.at_ns > before.at_ns:
@@ -49,6 +49,6 @@
                 spent_share = (found.spent_s - before.spent_s) * 1e9 / span_ns
                 self._books.busiest_share = max(self._books.busiest_share, spent_share)
         if balancer:
-            descriptors, memory_mb = usage(pid)
+            descriptors, memory_mb = descriptors_and_memory_mb(pid)
             self._books.descriptors_most = max(self._books.descriptors_most, descriptors)
             self._books.memory_most_mb = max(self._books.memory_most_mb, memory_mb)
--- a/lanemux/rehearsal/registry.py
+++ b/lanemux/rehearsal/registry.py
@@ -23,7 +23,7 @@
 PATH = "/registry/instances"
 
 
-class ListAgent(Protocol):
+class DiscoveryAgent(Protocol):
     """What tells one balancer the list."""
 
     balancer: int
@@ -34,16 +34,16 @@
     async def close(self) -> None:
         """The end of it."""
 
-    def tell(self, box: Box, dial: Address, notice: Notice, first: bool = False) -> None:
+    def publish(self, box: Box, dial: Address, notice: Notice, first: bool = False) -> None:
         """There is news of a box, or (`first`) the list before the start."""
 
-    def listing(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """The whole list in discovery's form."""
 
-    def operators(self) -> str:
+    def operators_toml(self) -> str:
         """What the balancer's operators' file must say to follow it; nothing for the platform's."""
 
-    def upset(self, happening: Happening) -> None:
+    def inject_fault(self, happening: Happening) -> None:
         """Something goes wrong with it."""
 
 
@@ -57,7 +57,7 @@
     text: dict[str, object]
 
 
-class Agent:
+class RegistryAgent:
     """The agent of one balancer."""
 
     def __init__(self, balancer: int, now: Callable[[], int], wall_zero_ms: int, book: list[Told]) -> None:
@@ -66,15 +66,15 @@
         self._seq = 1
         self._watches: dict[Watcher, tuple[int, asyncio.TimerHandle]] = {}
         self._server: asyncio.Server | None = None
-        self._old: Agent | None = None  # it is told what this one is told
+        self._old: RegistryAgent | None = None  # it is told what this one is told
 
-    def successor(self) -> Agent:
+    def successor(self) -> RegistryAgent:
         """The same discovery at another address; the old one goes on being told until the new one is `alone`."""
-        made = Agent(self.balancer, self._now, self._wall_zero_ms, self._book)
+        made = RegistryAgent(self.balancer, self._now, self._wall_zero_ms, self._book)
         made._rows, made._seq, made._old = dict(self._rows), self._seq, self
         return made
 
-    def alone(self) -> None:
+    def detach_predecessor(self) -> None:
         self._old = None
 
     async def open(self, host: str) -> Address:
@@ -83,10 +83,10 @@
         address: Address = self._server.sockets[0].getsockname()
         return address
 
-    def operators(self) -> str:
+    def operators_toml(self) -> str:
         return ""
 
-    def upset(self, happening: Happening) -> None:
+    def inject_fault(self, happening: Happening) -> None:
         """Nothing: an agent runs on the balancer's own machine."""
 
     async def close(self) -> None:
@@ -95,7 +95,7 @@
         if self._server is not None:
             self._server.close()
 
-    def tell(self, box: Box, dial: Address, notice: Notice, first: bool = False) -> None:
+    def publish(self, box: Box, dial: Address, notice: Notice, first: bool = False) -> None:
         """The agent has news; those who watch hear it at once."""
         self._seq += not first
         born_ms = 0 if not notice.born_ns else self._wall_zero_ms + notice.born_ns // MS
@@ -128,7 +128,7 @@
         for watcher in list(self._watches):
             self._answer(watcher, self._watches[watcher][0])
 
-    def listing(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """The whole list: removed boxes are not on it."""
         rows = [row.text for row in self._rows.values() if row.text["health"] != "removed"]
         return {"seq": self._seq, "whole": True, "hosts": rows}
@@ -147,7 +147,7 @@
         elif after is None:
             for row in self._rows.values():
                 self._wrote(row)
-            watcher.write(200, self.listing())
+            watcher.write(200, self.snapshot())
         elif after < self._seq or wait_ms <= 0:
             self._answer(watcher, after)
         else:
@@ -176,9 +176,9 @@
 class Watcher(asyncio.Protocol):
     """A connection to an agent."""
 
-    def __init__(self, agent: Agent) -> None:
+    def __init__(self, agent: RegistryAgent) -> None:
         self._agent = agent
-        self._framer = framing.Framer()
+        self._framer = framing.MessageParser()
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -187,14 +187,14 @@
     def data_received(self, data: bytes) -> None:
         try:
             for message in self._framer.feed(data):
-                self._agent.ask(self, message.first.split(" ")[1])
+                self._agent.ask(self, message.start_line.split(" ")[1])
         except framing.Unreadable:
             if self._transport is not None:
                 self._transport.abort()
 
     def write(self, status: int, what: object) -> None:
         if self._transport is not None:
-            self._transport.write(framing.answer(status, json.dumps(what).encode()))
+            self._transport.write(framing.response(status, json.dumps(what).encode()))
 
     def connection_lost(self, error: Exception | None) -> None:
         self._agent.forget(self)
--- a/lanemux/rehearsal/relay.py
+++ b/lanemux/rehearsal/relay.py
@@ -31,7 +31,7 @@
     def datagram_received(self, data: bytes, address: tuple[str | object, int]) -> None:
         sender = self._relay.numbers.get(cast(Address, address[:2]))
         if sender is not None:
-            self._relay.carry(sender, self._owner, data)
+            self._relay.forward(sender, self._owner, data)
 
     def send(self, data: bytes, to: Address) -> None:
         if self._transport is not None:
@@ -68,7 +68,7 @@
         ]
         return peers, [addresses[EVERYONE]] * len(self.listens)
 
-    def carry(self, sender: int, to: int, data: bytes) -> None:
+    def forward(self, sender: int, to: int, data: bytes) -> None:
         """Deliver to one, or to all others: each copy is late or lost by itself."""
         if len(data) > MAX_DATAGRAM:
             return
--- a/lanemux/rehearsal/request_form.py
+++ b/lanemux/rehearsal/request_form.py
@@ -25,7 +25,7 @@
     body = sent_body(ask)
     key = idempotency_key(plan.seed, ask.number) if ask.effect == "keyed" else ""
     return (
-        message.first == f"{'GET' if body is None else 'POST'} {target_of(ask)} HTTP/1.1"
+        message.start_line == f"{'GET' if body is None else 'POST'} {target_of(ask)} HTTP/1.1"
         and message.body == (body or b"")
         and message.headers.get("idempotency-key", "") == key
     )
--- a/lanemux/rehearsal/run.py
+++ b/lanemux/rehearsal/run.py
@@ -18,13 +18,13 @@
 
 from lanemux.rehearsal import boxes_process
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.balancers import Balancer, Place, free_port, pressed_ns
+from lanemux.rehearsal.balancers import BalancerEndpoints, BalancerProcess, cpu_pressure_ns, free_address
 from lanemux.rehearsal.books import BoxBooks, CallerBooks, Life
-from lanemux.rehearsal.callers import Callers, Front
-from lanemux.rehearsal.looks import Lateness, quiet_collector
+from lanemux.rehearsal.callers import Callers, FrontRouter
+from lanemux.rehearsal.loop_timing import LoopLagRecorder, disable_garbage_collector
 from lanemux.rehearsal.plan import MS, SECOND, Happening, Notice, Plan, draw, room_of, settings
 from lanemux.rehearsal.process_monitor import ProcessMonitor
-from lanemux.rehearsal.registry import Agent, ListAgent
+from lanemux.rehearsal.registry import DiscoveryAgent, RegistryAgent
 from lanemux.rehearsal.relay import Relay
 from lanemux.rehearsal.rules import Violation, check
 from lanemux.rehearsal.scenario import AT_BALANCERS, Scenario
@@ -97,8 +97,8 @@
         # Runs beside one another on a machine take other parts of the loopback range.
         self._prefix = f"127.{64 + os.getpid() % 128}"
         self._zero_ns = int(self._loop.time() * 1e9)
-        self._agents: list[ListAgent] = []
-        self._balancers: list[Balancer] = []
+        self._agents: list[DiscoveryAgent] = []
+        self._balancers: list[BalancerProcess] = []
         self._relay: Relay | None = None
         self._callers: Callers | None = None
         self._timers: list[asyncio.TimerHandle] = []
@@ -117,11 +117,15 @@
 
     async def open(self) -> None:
         """Start everybody, and wait until the balancers are ready."""
-        self._loop.set_exception_handler(lambda _, context: self.books.faults.append(boxes_process.fault_text(context)))
+        self._loop.set_exception_handler(
+            lambda _, context: self.books.faults.append(boxes_process.describe_exception(context))
+        )
         await self._start_boxes()
         count = self.plan.scenario.fleet.balancers
         hosts = [f"{self._prefix}.200.{b + 1}" for b in range(count)]
-        places = [Place(free_port(h), ("", 0), free_port(h, datagrams=True), [], ("", 0)) for h in hosts]
+        places = [
+            BalancerEndpoints(free_address(h), ("", 0), free_address(h, datagrams=True), [], ("", 0)) for h in hosts
+        ]
         self._relay = Relay(self.plan.scenario.network, [p.peer_listen for p in places], self.plan.seed)
         peers, everyone = await self._relay.open(f"{self._prefix}.201.1")
         wall_zero_ms = time.time_ns() // 1_000_000
@@ -130,17 +134,17 @@
             agent = new_agent(number)
             self._agents.append(agent)
             place.discovery = await agent.open(f"{self._prefix}.202.{number + 1}")
-            place.operators = agent.operators() + self.plan.scenario.operators
+            place.operators = agent.operators_toml() + self.plan.scenario.operators
             place.peers, place.peers_all = peers[number], everyone[number]
             for box in self.plan.first:
                 self._notice(agent, Notice(0, box, "up", 0), first=True)
             self._balancers.append(
-                Balancer(number, self._command, place, self._folder, settings(self.plan, number), self.plan.seed)
+                BalancerProcess(number, self._command, place, self._folder, settings(self.plan, number), self.plan.seed)
             )
         for balancer in self._balancers:
-            balancer.start(self._agents[balancer.number].listing())
+            balancer.start(self._agents[balancer.number].snapshot())
         for balancer in self._balancers:
-            if not await balancer.ready():
+            if not await balancer.wait_until_ready():
                 raise CannotRun(f"balancer {balancer.number} did not become ready: {_tail(balancer)}")
 
     async def _start_boxes(self) -> None:
@@ -172,19 +176,19 @@
             wait = random.Random(f"{self.plan.seed}/{box}").uniform(*self.plan.scenario.discovery.notice_s)
             self._at(at + int(wait * SECOND), self._tell, Notice(at, box, "removed", 0))
 
-    def _source(self, wall_zero_ms: int) -> Callable[[int], ListAgent]:
+    def _source(self, wall_zero_ms: int) -> Callable[[int], DiscoveryAgent]:
         """What tells each balancer the list."""
         if self.plan.scenario.discovery.source == "agent":
-            return lambda number: Agent(number, self.now, wall_zero_ms, self.books.told)
+            return lambda number: RegistryAgent(number, self.now, wall_zero_ms, self.books.told)
         from lanemux.rehearsal.etcd.agent import EtcdAgent  # only here: it needs the extra `etcd`
         from lanemux.rehearsal.etcd.store import Store
 
         store = Store()
         return lambda number: EtcdAgent(number, self.now, wall_zero_ms, self.books.told, store)
 
-    def _notice(self, agent: ListAgent, notice: Notice, first: bool = False) -> None:
+    def _notice(self, agent: DiscoveryAgent, notice: Notice, first: bool = False) -> None:
         box = self.plan.boxes[notice.box]
-        agent.tell(box, self._addresses[box.slot][agent.balancer], notice, first)
+        agent.publish(box, self._addresses[box.slot][agent.balancer], notice, first)
 
     # -- the run --
 
@@ -194,31 +198,31 @@
         scenario = self.plan.scenario
         self._zero_ns = int((self._loop.time() + LEAD_S) * 1e9)
         self._pipe.send(("start", self._zero_ns))
-        front = Front(
+        front = FrontRouter(
             [room_of(scenario.fleet, b) for b in range(scenario.fleet.balancers)],
-            [b.place.listen for b in self._balancers],
+            [b.endpoints.listen for b in self._balancers],
         )
         grace_ns = int(scenario.callers.grace_ms * MS)
         callers = self._callers = Callers(self.plan, front, self.books, self._zero_ns, grace_ns)
         for notice in self.plan.notices:
             self._at(notice.at_ns, self._tell, notice)
         for upset in self.plan.upsets:
-            self._at(upset.at_ns, self._agents[upset.who].upset, upset)
+            self._at(upset.at_ns, self._agents[upset.who].inject_fault, upset)
         for happening in self.plan.happenings:
             if happening.what == "flood":
                 self._at(happening.at_ns, self._spawn_flood, happening)
             elif happening.what in AT_BALANCERS:
                 self._at(happening.at_ns, self._to_balancer, happening, front)
-        lateness = Lateness(self._loop, self.books.lag_ns)
-        quiet_collector()
-        pressed, began = pressed_ns(), self.now()
-        callers.begin()
+        lateness = LoopLagRecorder(self._loop, self.books.lag_ns)
+        disable_garbage_collector()
+        pressed, began = cpu_pressure_ns(), self.now()
+        callers.start()
         self._spawn(self._monitor(progress))
-        await callers.done.wait()
+        await callers.all_sent.wait()
         longest = max(c.deadline_ms for c in scenario.classes) / 1000
         await asyncio.sleep(longest + grace_ns / 1e9)
         lateness.stop()
-        self.books.pressed_share = (pressed_ns() - pressed) / max(1, self.now() - began)
+        self.books.pressed_share = (cpu_pressure_ns() - pressed) / max(1, self.now() - began)
         await self._stop_balancers()
         self._pipe.send(("stop",))
         boxes = await self._box_books
@@ -249,40 +253,40 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _to_balancer(self, happening: Happening, front: Front) -> None:
+    def _to_balancer(self, happening: Happening, front: FrontRouter) -> None:
         balancer = self._balancers[happening.who]
         if happening.what == "kill":
             balancer.kill()
             self._down[happening.who] = Life(happening.who, "down", self.now())
             self.books.balancers_down.append(self._down[happening.who])
-            self._at(self.now() + self.plan.fronts_notice_ns, front.known.discard, happening.who)
+            self._at(self.now() + self.plan.fronts_notice_ns, front.available.discard, happening.who)
         elif happening.what == "restart":
             self._spawn(self._end(balancer, happening, front))
         else:
             self._spawn(self._revive(balancer, front))
 
-    async def _end(self, balancer: Balancer, happening: Happening, front: Front) -> None:
+    async def _end(self, balancer: BalancerProcess, happening: Happening, front: FrontRouter) -> None:
         """A planned end: the front takes it out soon after, and clients go on using what is open."""
         who = balancer.number
         self._down[who] = Life(who, "restarting", self.now())
         self.books.balancers_down.append(self._down[who])
-        front.ending.add(who)
-        self._at(self.now() + NEW_CONNECTIONS_NS, front.known.discard, who)
-        fault = await balancer.end_by((self._zero_ns + happening.until_ns) / 1e9, bool(happening.size))
-        front.ending.discard(who)
-        front.known.discard(who)
+        front.terminating.add(who)
+        self._at(self.now() + NEW_CONNECTIONS_NS, front.available.discard, who)
+        fault = await balancer.terminate((self._zero_ns + happening.until_ns) / 1e9, bool(happening.size))
+        front.terminating.discard(who)
+        front.available.discard(who)
         if fault:
             self.books.crashes.append(f"{fault}: {_tail(balancer)}")
 
-    async def _revive(self, balancer: Balancer, front: Front) -> None:
+    async def _revive(self, balancer: BalancerProcess, front: FrontRouter) -> None:
         life = self._down.pop(balancer.number, None)
-        balancer.start(self._agents[balancer.number].listing())
+        balancer.start(self._agents[balancer.number].snapshot())
         if life is not None:
             life.to_ns = self.now()
         began = self._loop.time()
-        if await balancer.ready():
-            front.known.add(balancer.number)
-        if self._loop.time() - began > RESTART_READY_S and not balancer.meant_down:
+        if await balancer.wait_until_ready():
+            front.available.add(balancer.number)
+        if self._loop.time() - began > RESTART_READY_S and not balancer.expected_down:
             self.books.crashes.append(f"balancer {balancer.number} was not ready within {RESTART_READY_S:.0f} s")
 
     def _spawn_flood(self, happening: Happening) -> None:
@@ -290,7 +294,7 @@
 
     async def _flood(self, happening: Happening) -> None:
         """From a process of its own, so that the callers are not late for it."""
-        listen = self._balancers[happening.who].place.listen
+        listen = self._balancers[happening.who].endpoints.listen
         seconds = (happening.until_ns - happening.at_ns) / SECOND
         flood = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -327,7 +331,7 @@
     def _note_crashes(self) -> None:
         for balancer in self._balancers:
             if balancer.crashed:
-                balancer.meant_down = True  # told once
+                balancer.expected_down = True  # told once
                 status = balancer.process.returncode if balancer.process is not None else None
                 self.books.crashes.append(
                     f"balancer {balancer.number} ended by itself with status {status}: {_tail(balancer)}"
@@ -369,7 +373,7 @@
         await asyncio.sleep(0)
 
 
-def _tail(balancer: Balancer) -> str:
+def _tail(balancer: BalancerProcess) -> str:
     """The end of what it wrote."""
     try:
         return balancer.log.read_bytes()[-LOG_TAIL:].decode(errors="replace").strip() or "it wrote nothing"
--- a/lanemux/rehearsal/terminal.py
+++ b/lanemux/rehearsal/terminal.py
@@ -55,7 +55,7 @@
 
     def tell(self, at_s: float, callers: Callers) -> None:
         whole = callers.plan.scenario.seconds
-        said = f"{callers.asked} asks, {len(callers.books.tries)} tries"
+        said = f"{callers.asked} asks, {len(callers.records.tries)} tries"
         if self._task is None:
             self._task = self._bar.add_task(said, total=whole)
         self._bar.update(self._task, completed=min(at_s, whole), description=said, refresh=True)
--- a/lanemux/virtual/balancer.py
+++ b/lanemux/virtual/balancer.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from lanemux.net.node import Node
-from lanemux.rehearsal.balancers import Place
+from lanemux.rehearsal.balancers import BalancerEndpoints
 from lanemux.rehearsal.books import Life
-from lanemux.rehearsal.registry import ListAgent
+from lanemux.rehearsal.registry import DiscoveryAgent
 from lanemux.virtual.observed import Observed
 from lanemux.virtual.process import Process
 
@@ -19,8 +19,8 @@
     """A balancer over its restarts."""
 
     number: int
-    place: Place
-    agent: ListAgent
+    place: BalancerEndpoints
+    agent: DiscoveryAgent
     settings: dict[str, object]
     process: Process | None = None
     node: Node | None = None
--- a/lanemux/virtual/faults/balancer.py
+++ b/lanemux/virtual/faults/balancer.py
@@ -8,7 +8,7 @@
 
 from lanemux.rehearsal.books import Life
 from lanemux.rehearsal.plan import MS, SECOND
-from lanemux.rehearsal.registry import Agent
+from lanemux.rehearsal.registry import RegistryAgent
 from lanemux.virtual.balancer import CONFIGURATION, RestartableBalancer
 from lanemux.virtual.faults import BalancerFault
 
@@ -113,7 +113,7 @@
 
     def _known(self, balancer: RestartableBalancer, there: bool) -> None:
         assert self._stage.front is not None
-        (self._stage.front.known.add if there else self._stage.front.known.discard)(balancer.number)
+        (self._stage.front.available.add if there else self._stage.front.available.discard)(balancer.number)
 
     def _hup(self, balancer: RestartableBalancer) -> None:
         if balancer.process is not None and balancer.process.alive:
@@ -125,10 +125,10 @@
     def _move(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
         """Discovery has another address; for a while the old one tells all the same."""
         old = balancer.agent
-        if isinstance(old, Agent):
+        if isinstance(old, RegistryAgent):
             self._stage.kit.loop.create_task(self._moved(balancer, old, lasts_ns))
 
-    async def _moved(self, balancer: RestartableBalancer, old: Agent, lasts_ns: int) -> None:
+    async def _moved(self, balancer: RestartableBalancer, old: RegistryAgent, lasts_ns: int) -> None:
         balancer.moves += 1
         new = balancer.agent = old.successor()  # from now on it is told all that the old one is told
         balancer.place.discovery = await new.open(f"127.0.{203 + balancer.moves % 50}.{balancer.number + 1}")
@@ -137,7 +137,7 @@
             self._stage.write_configuration(balancer)
             self._hup(balancer)
         await asyncio.sleep(lasts_ns / SECOND)
-        new.alone()
+        new.detach_predecessor()
         await old.close()
 
     def _torn(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
--- a/lanemux/virtual/faults/box.py
+++ b/lanemux/virtual/faults/box.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from lanemux.rehearsal.box_host import Host
+from lanemux.rehearsal.box_host import BoxHost
 from lanemux.rehearsal.plan import MS, SECOND
 from lanemux.virtual.faults import BoxFault
 from lanemux.virtual.network import End
@@ -105,7 +105,7 @@
         )
         old, number = self._stage.plan.boxes[box], len(self._stage.plan.boxes)
         self._stage.plan.boxes.append(dataclasses.replace(old, host=f"{old.host}-{number}", seed=old.seed + number))
-        self._stage.boxes.hosts.append(Host(self._stage.boxes.world, number, self._stage.addresses[old.slot]))
+        self._stage.boxes.hosts.append(BoxHost(self._stage.boxes.context, number, self._stage.addresses[old.slot]))
         self._stage.later(lasts_ns, lambda: self._come_back(number))
 
     def _trade(self, box: int, lasts_ns: int, about: object) -> None:
--- a/lanemux/virtual/faults/client.py
+++ b/lanemux/virtual/faults/client.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from lanemux.rehearsal.callers import Line
+from lanemux.rehearsal.callers import ClientConnection
 from lanemux.rehearsal.plan import MS, SECOND
 from lanemux.virtual.balancer import RestartableBalancer
 from lanemux.virtual.faults import BalancerFault
@@ -30,10 +30,10 @@
             "double": self._double,
         }
 
-    def _line(self, about: object) -> Line | None:
+    def _line(self, about: object) -> ClientConnection | None:
         """The caller's connection that an event is about, or any on which an answer is due."""
         assert self._stage.callers is not None
-        lines = [line for line in self._stage.callers.lines if line.current is not None]
+        lines = [line for line in self._stage.callers.connections if line.current_try is not None]
         end = about[0] if isinstance(about, tuple) else about
         if isinstance(end, End) and end.label.kind == "client":
             mine = end if end.opener else end.peer
@@ -47,20 +47,20 @@
 
     def _leave(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
         line = self._line(about)
-        if line is not None and line.current is not None:
-            self._stage.run_in(self._stage.kit, line.current.leave)
+        if line is not None and line.current_try is not None:
+            self._stage.run_in(self._stage.kit, line.current_try.leave)
 
     def _half(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
         line = self._line(about)
-        if line is not None and line.current is not None:
-            self._stage.run_in(self._stage.kit, line.current.leave, HALF_NS)
+        if line is not None and line.current_try is not None:
+            self._stage.run_in(self._stage.kit, line.current_try.leave, HALF_NS)
 
     def _double(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
         """Only what may be repeated: whether the second one is taken for a new request is up to the moment."""
         line = self._line(about)
-        if line is not None and line.current is not None and line.current.ask.effect == "safe":
+        if line is not None and line.current_try is not None and line.current_try.ask.effect == "safe":
             address = self._stage.balancers[line.balancer].place.listen
-            self._stage.kit.loop.create_task(self._sent_twice(address, line.sent))
+            self._stage.kit.loop.create_task(self._sent_twice(address, line.last_request))
 
     async def _sent_twice(self, address: Address, data: bytes) -> None:
         try:
--- a/lanemux/virtual/faults/discovery.py
+++ b/lanemux/virtual/faults/discovery.py
@@ -42,7 +42,7 @@
     def _upset(self, balancer: RestartableBalancer, what: str, lasts_ns: int) -> None:
         self._stage.run_in(
             self._stage.kit,
-            balancer.agent.upset,
+            balancer.agent.inject_fault,
             Happening(self._stage.now(), what, balancer.number, self._stage.now() + lasts_ns),
         )
 
--- a/lanemux/virtual/sight.py
+++ b/lanemux/virtual/sight.py
@@ -20,15 +20,15 @@
         made = self.boxes.loop.socket_of(transport)
         return made.end if isinstance(made, StreamSocket) else None
 
-    def began_ns(self, transport: asyncio.BaseTransport) -> int:
+    def first_byte_sent_ns(self, transport: asyncio.BaseTransport) -> int:
         end = self._end(transport)
         return (end.read_from_ns if end is not None else self.boxes.world.agenda.now_ns) - ZERO_NS
 
-    def whole_ns(self, transport: asyncio.BaseTransport) -> int:
+    def last_byte_sent_ns(self, transport: asyncio.BaseTransport) -> int:
         end = self._end(transport)
         return (end.read_to_ns if end is not None else self.boxes.world.agenda.now_ns) - ZERO_NS
 
-    def open_ns(self, transport: asyncio.BaseTransport) -> int:
+    def open_until_ns(self, transport: asyncio.BaseTransport) -> int:
         now, end = self.boxes.world.agenda.now_ns, self._end(transport)
         closed = end.peer.ended_ns if end is not None and end.peer is not None else now
         return min(now, closed) - ZERO_NS
@@ -37,4 +37,4 @@
 class NoLooks:
     """A virtual loop's looks tell nothing that its network does not tell exactly."""
 
-    looks_ns = [0, 0, 0]
+    poll_times_ns = [0, 0, 0]
--- a/lanemux/virtual/stage.py
+++ b/lanemux/virtual/stage.py
@@ -25,13 +25,13 @@
 from lanemux.net.reload import ListSourceSetting
 from lanemux.policy import Balancer
 from lanemux.rehearsal.addresses import reserve
-from lanemux.rehearsal.balancers import Place, configuration
+from lanemux.rehearsal.balancers import BalancerEndpoints, configuration
 from lanemux.rehearsal.books import BoxBooks, CallerBooks
-from lanemux.rehearsal.box_world import World as BoxWorld
+from lanemux.rehearsal.box_context import BoxContext
 from lanemux.rehearsal.boxes import Boxes
-from lanemux.rehearsal.callers import Callers, Front
+from lanemux.rehearsal.callers import Callers, FrontRouter
 from lanemux.rehearsal.plan import MS, SECOND, Happening, Notice, Plan, draw, room_of, settings
-from lanemux.rehearsal.registry import Agent, ListAgent
+from lanemux.rehearsal.registry import DiscoveryAgent, RegistryAgent
 from lanemux.rehearsal.relay import Relay
 from lanemux.rehearsal.rules import Violation
 from lanemux.rehearsal.service import Figures, figures
@@ -130,7 +130,7 @@
         self.kit.judged = self.boxes_process.judged = True  # books are kept there alone
         self.addresses: list[list[Address]] = []
         self._relay: Relay | None = None
-        self.front: Front | None = None
+        self.front: FrontRouter | None = None
         self.callers: Callers | None = None
         self.boxes: Boxes | None = None
         self._box_faults = BoxFaults(self)
@@ -216,7 +216,7 @@
         if not gone:
             self._blame("end", "a balancer did not end by its drain")
         if self.boxes is not None:
-            self.boxes.end()
+            self.boxes.stop()
 
     def _until(self, true: Callable[[], bool], end_ns: int) -> bool:
         return self.world.run(true, end_ns)
@@ -235,7 +235,7 @@
         fleet = self.plan.scenario.fleet
         self._open_boxes()
         places = [
-            Place((f"127.0.200.{b + 1}", 8000), ("", 0), (f"127.0.200.{b + 1}", 8001), [], ("", 0))
+            BalancerEndpoints((f"127.0.200.{b + 1}", 8000), ("", 0), (f"127.0.200.{b + 1}", 8001), [], ("", 0))
             for b in range(fleet.balancers)
         ]
         network = self.world.network
@@ -254,34 +254,34 @@
             place.peers, place.peers_all = peers[b], everyone[b]
             for box in self.plan.first:
                 self.said[box] = ("up", 0)
-                agent.tell(self.plan.boxes[box], self.addresses[box][b], Notice(0, box, "up", 0), True)
+                agent.publish(self.plan.boxes[box], self.addresses[box][b], Notice(0, box, "up", 0), True)
             self.balancers.append(RestartableBalancer(b, place, agent, settings(self.plan, b)))
         for balancer in self.balancers:
             self.start(balancer)
-        self.front = Front([room_of(fleet, b) for b in range(fleet.balancers)], [p.listen for p in places])
+        self.front = FrontRouter([room_of(fleet, b) for b in range(fleet.balancers)], [p.listen for p in places])
         self.callers = Callers(self.plan, self.front, self.books, ZERO_NS, WAIT_NS)
-        self.callers.begin()
-        await self.callers.done.wait()
+        self.callers.start()
+        await self.callers.all_sent.wait()
         await asyncio.sleep(3600)  # the kit's process stays until the world ends
 
     def _open_boxes(self) -> None:
         process = self.boxes_process
         asks = {name: ask for ask in self.plan.asks for name in ask.ids}
         make = cast(Any, process.socket)
-        world = BoxWorld(
+        world = BoxContext(
             process.loop, self.plan, NoLooks(), self.boxes_books, ZERO_NS, asks, self._fell, ExactSight(process), make
         )
         self.addresses = reserve(self.plan, "127.0", make)
         for slot, row in enumerate(self.addresses):
             self.world.network.places.update({address: ("box", slot) for address in row})
         self.boxes = Boxes(world, self.addresses)
-        self.run_in(process, self.boxes.open)
-        self.run_in(process, self.boxes.begin, False)
+        self.run_in(process, self.boxes.start_initial)
+        self.run_in(process, self.boxes.start_schedule, False)
 
-    def _source(self) -> Callable[[int], ListAgent]:
+    def _source(self) -> Callable[[int], DiscoveryAgent]:
         wall_ms = (ZERO_NS + self.kit.wall_offset_ns) // MS
         if self.plan.scenario.discovery.source == "agent":
-            return lambda number: Agent(number, self.now, wall_ms, self.books.told)
+            return lambda number: RegistryAgent(number, self.now, wall_ms, self.books.told)
         from lanemux.rehearsal.etcd.agent import EtcdAgent
         from lanemux.rehearsal.etcd.store import Store
 
@@ -379,7 +379,7 @@
             f"n{balancer.number}",
             balancer.place,
             f"{self.plan.seed:x}-{balancer.number}-{balancer.starts}",
-            balancer.agent.listing(),
+            balancer.agent.snapshot(),
             balancer.settings,
             self.sockets,
         )
@@ -473,7 +473,7 @@
     def _spread(self, box: int, health: str, born_ns: int) -> None:
         row, slot = self.plan.boxes[box], self.plan.boxes[box].slot
         for balancer in self.balancers:
-            balancer.agent.tell(row, self.addresses[slot][balancer.number], Notice(self.now(), box, health, born_ns))
+            balancer.agent.publish(row, self.addresses[slot][balancer.number], Notice(self.now(), box, health, born_ns))
 
     def happen(self, what: str, box: int, until_ns: int = 0) -> None:
         """A change in the life of a box, now."""
@@ -482,7 +482,7 @@
     def _planned(self, happening: Happening) -> None:
         assert self.boxes is not None
         self.trace(f"box {happening.who}", happening.what)
-        self.run_in(self.boxes_process, self.boxes.happen, happening)
+        self.run_in(self.boxes_process, self.boxes.apply, happening)
 
     def _fell(self, box: int, at_ns: int) -> None:
         self.trace(f"box {box}", "falls over")
--- a/tests/cluster/rig.py
+++ b/tests/cluster/rig.py
@@ -50,7 +50,7 @@
         self._chance = random.Random(f"{seed}/ways")
         self._late: set[asyncio.TimerHandle] = set()
 
-    def carry(self, sender: int, to: int, data: bytes) -> None:
+    def forward(self, sender: int, to: int, data: bytes) -> None:
         way = self.ways.get((sender, to))
         if way is None or way.cut or self._chance.random() < way.lose:
             return
@@ -59,7 +59,7 @@
             return
         for _ in range(1 + (self._chance.random() < way.twice)):
             handle = asyncio.get_running_loop().call_later(
-                self._chance.uniform(*way.late_s), super().carry, sender, to, data
+                self._chance.uniform(*way.late_s), super().forward, sender, to, data
             )
             self._late.add(handle)
         self._late = {h for h in self._late if not h.cancelled() and h.when() > asyncio.get_running_loop().time()}
@@ -69,7 +69,7 @@
         for (sender, to), way in self.ways.items():
             way.stalled, kept, way.kept = False, way.kept, []
             for data in kept:
-                super().carry(sender, to, data)
+                super().forward(sender, to, data)
 
     def close(self) -> None:
         for handle in self._late:
--- a/tests/etcd/test_drains.py
+++ b/tests/etcd/test_drains.py
@@ -18,7 +18,7 @@
 from lanemux.etcd.source import Make
 from lanemux.net.config import Config
 from lanemux.net.node import Node
-from lanemux.rehearsal.etcd.server import StandIn
+from lanemux.rehearsal.etcd.server import FakeMember
 from lanemux.rehearsal.etcd.store import Change, Store
 from tests.etcd.test_source import PREFIX, key, row
 from tests.sockets import HOST, Client, Got, Script, Upstream, Writer, request, settings, until, written
@@ -31,8 +31,8 @@
     """A balancer that follows a stand-in etcd, and boxes whose connections come up only when let."""
 
     def __init__(self) -> None:
-        self.standin = StandIn(Store())
-        self.standin.wrote = self._wrote
+        self.standin = FakeMember(Store())
+        self.standin.on_written = self._wrote
         self.boxes: list[Upstream] = []
         self.came: list[tuple[int, float]] = []  # (box, when) of each request at a box
         self.noticed: dict[str, float] = {}  # host -> when its end was written to the balancer
@@ -79,7 +79,7 @@
 
     def put(self, rows: dict[str, bytes | None]) -> None:
         self.standin.store.write([(key(h), v) for h, v in rows.items()])
-        self.standin.changed()
+        self.standin.notify_watchers()
 
     def up(self) -> None:
         self.ended.clear()
--- a/tests/etcd/test_histories.py
+++ b/tests/etcd/test_histories.py
@@ -16,7 +16,7 @@
 from lanemux.core.membership import Entry, Membership
 from lanemux.etcd import follower as f
 from lanemux.etcd.board import DOUBT_NS, Board
-from lanemux.rehearsal.etcd.store import Compacted, Future, Store
+from lanemux.rehearsal.etcd.store import Compacted, FutureRevision, Store
 
 PREFIX, END = b"/boxes/", b"/boxes0"
 HOSTS = [f"box-{i}" for i in range(14)]
@@ -106,7 +106,7 @@
                 # One that keeps its id must be seen before it is written past what was known: after that, nothing
                 # that etcd tells sets it apart from a store that went on (docs/design/etcd.md, "Limits").
                 self.unseen = rng.random() < 0.3
-                self.store = Store.restored(self.saved, self.store.cluster + (not self.unseen))
+                self.store = Store.from_backup(self.saved, self.store.cluster + (not self.unseen))
                 self.lose(f.Failed("restored"))  # its members have started anew
             case 6 if isinstance(self.call, f.Watch):
                 self.lose(f.Cancelled("etcdserver: no leader"))
@@ -172,7 +172,7 @@
     def page(self, asked: f.List) -> f.Event:
         try:
             rows = self.store.rows(asked.start or PREFIX, END, asked.revision, 4)
-        except (Compacted, Future):
+        except (Compacted, FutureRevision):
             self.call = None
             return f.Failed("compacted")
         pairs = [f.Pair(c.key, c.value, c.revision) for c in rows[:4]]
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -23,8 +23,8 @@
 from lanemux.net.node import Node
 from lanemux.net.reload import ListSourceSetting
 from lanemux.operators import load
-from lanemux.rehearsal.etcd.mangler import Mangler
-from lanemux.rehearsal.etcd.server import StandIn
+from lanemux.rehearsal.etcd.faulty_proxy import FaultyProxy
+from lanemux.rehearsal.etcd.server import FakeMember
 from lanemux.rehearsal.etcd.store import Store
 from tests.sockets import HOST, Registry, Script, entry, run, settings, until
 
@@ -76,11 +76,11 @@
 class Etcd:
     """A stand-in member, and a writer to its store."""
 
-    standin: StandIn
+    standin: FakeMember
 
     def put(self, hosts: dict[str, bytes | None], lease: int = 0) -> None:
         self.standin.store.write([(key(h), v) for h, v in hosts.items()], lease)
-        self.standin.changed()
+        self.standin.notify_watchers()
 
     def ports(self) -> dict[int, int]:
         numbers = Membership(0)
@@ -93,7 +93,11 @@
 
 @asynccontextmanager
 async def following(
-    *standins: StandIn, relay: Mangler | None = None, user: str = "", password_file: str = "", known: object = None
+    *standins: FakeMember,
+    relay: FaultyProxy | None = None,
+    user: str = "",
+    password_file: str = "",
+    known: object = None,
 ) -> AsyncIterator[tuple[Etcd, Told, EtcdSource]]:
     for standin in standins:
         await standin.start()
@@ -119,13 +123,13 @@
 
 
 @asynccontextmanager
-async def watching(count: int) -> AsyncIterator[tuple[StandIn, Mangler, Etcd, Told]]:
+async def watching(count: int) -> AsyncIterator[tuple[FakeMember, FaultyProxy, Etcd, Told]]:
     """So many boxes that have been told, a watch that stands, and a relay under it."""
-    standin, relay = StandIn(Store()), Mangler(("", 0))
+    standin, relay = FakeMember(Store()), FaultyProxy(("", 0))
     standin.store.write([(key(h), v) for h, v in fleet(count).items()])
     async with following(standin, relay=relay) as (etcd, told, _):
         await until(same(etcd, told))
-        await until(lambda: standin.starts)
+        await until(lambda: standin.watch_start_revisions)
         yield standin, relay, etcd, told
 
 
@@ -141,13 +145,13 @@
     return {f"b{i:05}": row(port) for i in range(count)}
 
 
-async def watched(standin: StandIn) -> None:
-    await until(lambda: standin.starts)
+async def watched(standin: FakeMember) -> None:
+    await until(lambda: standin.watch_start_revisions)
 
 
-async def opened(relay: Mangler, count: int) -> None:
+async def opened(relay: FaultyProxy, count: int) -> None:
     """So many connections have come."""
-    await until(lambda: relay.opened >= count)
+    await until(lambda: relay.connections_opened >= count)
 
 
 def same(etcd: Etcd, told: Told) -> Callable[[], bool]:
@@ -156,7 +160,7 @@
 
 def test_the_list_and_what_changes_in_it() -> None:
     async def test() -> None:
-        standin = StandIn(Store())
+        standin = FakeMember(Store())
         async with following(standin) as (etcd, told, _):
             etcd.put(fleet(600))  # more than two pages
             await until(same(etcd, told))
@@ -169,7 +173,7 @@
             etcd.put(fleet(200, 4), lease=5)
             await until(same(etcd, told))
             standin.store.expire(10)  # a third of the list at once
-            standin.changed()
+            standin.notify_watchers()
             await until(same(etcd, told))
             assert len(told.now) == 401
 
@@ -183,7 +187,7 @@
                 relay.reset()
                 etcd.put({"b00003": row(port), f"n{port}": row(port), "b00004": None})
                 await until(same(etcd, told))
-            assert standin.lists == 1 and len(standin.starts) >= 3  # never listed anew
+            assert standin.lists == 1 and len(standin.watch_start_revisions) >= 3  # never listed anew
 
     run(test())
 
@@ -207,7 +211,7 @@
 def test_a_watch_that_is_open_and_silent_is_found_out() -> None:
     async def test() -> None:
         for silent in ("relay", "member"):
-            standin, relay = StandIn(Store()), Mangler(("", 0))
+            standin, relay = FakeMember(Store()), FaultyProxy(("", 0))
             standin.store.write([(key("a"), row())])
             async with following(standin, relay=relay) as (etcd, told, _):
                 await until(same(etcd, told))
@@ -215,10 +219,10 @@
                 relay.hold(silent == "relay")
                 standin.faults.silent = silent == "member"
                 etcd.put({"a": row(2)})
-                await opened(relay, relay.opened + 1)
+                await opened(relay, relay.connections_opened + 1)
                 relay.hold(False)
                 standin.faults.silent = False
-                standin.changed()  # for a watch that came while it was silent: progress comes behind changes
+                standin.notify_watchers()  # for a watch that came while it was silent: progress comes behind changes
                 await until(same(etcd, told))
 
     run(test())
@@ -226,14 +230,14 @@
 
 def test_a_quiet_watch_is_asked_and_stays() -> None:
     async def test() -> None:
-        standin, relay = StandIn(Store()), Mangler(("", 0))
+        standin, relay = FakeMember(Store()), FaultyProxy(("", 0))
         standin.store.write([(key("a"), row())])
         async with following(standin, relay=relay) as (etcd, told, following_):
             await until(same(etcd, told))
             await until(lambda: following_._follower._opened_ns)
             begun = following_._follower._opened_ns
             await until(lambda: following_._follower.due_ns > begun + 8 * follower.QUIET_NS)
-            assert relay.opened == 1 and standin.watches == 1
+            assert relay.connections_opened == 1 and standin.watches == 1
 
     run(test())
 
@@ -241,9 +245,9 @@
 @pytest.mark.parametrize("most", [1, 3, 400])
 def test_writes_that_are_split_at_any_byte(most: int) -> None:
     async def test() -> None:
-        standin, relay = StandIn(Store()), Mangler(("", 0), seed=most)
-        relay.most = most
-        standin.faults.fragment = 3
+        standin, relay = FakeMember(Store()), FaultyProxy(("", 0), seed=most)
+        relay.max_chunk = most
+        standin.faults.max_fragment_events = 3
         async with following(standin, relay=relay) as (etcd, told, _):
             etcd.put(fleet(12))
             await until(same(etcd, told))
@@ -256,16 +260,16 @@
 def test_connections_that_break_after_any_byte() -> None:
     async def test() -> None:
         rng = random.Random(4)
-        standin, relay = StandIn(Store()), Mangler(("", 0))
-        standin.faults.fragment = 2
+        standin, relay = FakeMember(Store()), FaultyProxy(("", 0))
+        standin.faults.max_fragment_events = 2
         standin.store.write([(key(h), v) for h, v in fleet(30).items()])
         async with following(standin, relay=relay) as (etcd, told, _):
             for turn in range(12):
-                relay.cut_after = rng.randint(0, 3000)
+                relay.reset_after_bytes = rng.randint(0, 3000)
                 relay.reset()
                 etcd.put({f"b{rng.randrange(30):05}": rng.choice([None, row(turn + 2)]) for _ in range(4)})
-                await opened(relay, relay.opened + 2)
-            relay.cut_after = -1
+                await opened(relay, relay.connections_opened + 2)
+            relay.reset_after_bytes = -1
             await until(same(etcd, told))
 
     run(test())
@@ -274,14 +278,14 @@
 def test_a_member_that_is_gone_behind_or_without_leader_is_left_for_another() -> None:
     async def test() -> None:
         store = Store()
-        first, second = StandIn(store), StandIn(store)
+        first, second = FakeMember(store), FakeMember(store)
         store.write([(key("a"), row())])
         async with following(first, second) as (etcd, told, _):
             await until(same(etcd, told))
             await until(lambda: first.watches)
             await first.stop()
             etcd.put({"a": row(2)})
-            second.changed()
+            second.notify_watchers()
             await until(same(etcd, told))
             assert second.watches == 1
 
@@ -292,13 +296,13 @@
 def test_a_fault_of_one_member_costs_nothing_that_is_known(fault: str) -> None:
     async def test() -> None:
         store = Store()
-        first, second = StandIn(store), StandIn(store)
+        first, second = FakeMember(store), FakeMember(store)
         store.write([(key("a"), row())])
         async with following(first, second) as (etcd, told, _):
             await until(same(etcd, told))
             await until(lambda: first.watches)
             if fault == "behind":
-                first.faults.behind = 3
+                first.faults.lag_revisions = 3
             elif fault == "no leader":
                 first.faults.refuse_watches = "etcdserver: no leader"
             else:
@@ -307,7 +311,7 @@
                 store.compact(store.revision)
             first.drop()
             etcd.put({"a": row(2), "c": row(3)})
-            second.changed()
+            second.notify_watchers()
             await until(same(etcd, told))
             assert not [e for told_ in told.listings for e in told_.entries if e.upstream.state is api.State.GONE]
 
@@ -316,14 +320,14 @@
 
 def test_another_cluster_keeps_sound_boxes_until_it_has_named_or_outlasted_them() -> None:
     async def test() -> None:
-        standin = StandIn(Store(1))
+        standin = FakeMember(Store(1))
         standin.store.write([(key("a"), row()), (key("b"), row())])
         saved = standin.store.backup()
         async with following(standin) as (etcd, told, following_):
             await until(same(etcd, told))
             etcd.put({"c": row()})
             await until(same(etcd, told))
-            standin.store = Store.restored(saved, 2)
+            standin.store = Store.from_backup(saved, 2)
             standin.store.write([(key("a"), row(5))])
             standin.drop()
             await until(lambda: 5 in told.ports().values())
@@ -337,16 +341,16 @@
 
 def test_a_list_without_end_ends_and_a_message_too_large_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        standin = StandIn(Store())
+        standin = FakeMember(Store())
         standin.store.write([(key("a"), row())])
         async with following(standin) as (etcd, told, _):
             await until(same(etcd, told))
-            standin.faults.endless = True
+            standin.faults.endless_list = True
             standin.store.compact(standin.store.revision)
-            standin.faults.huge = 2 * member.MAX_MESSAGE
+            standin.faults.padding_bytes = 2 * member.MAX_MESSAGE
             etcd.put({"a": row(2)})
             await until(lambda: standin.watches >= 2)
-            standin.faults.endless, standin.faults.huge = False, 0
+            standin.faults.endless_list, standin.faults.padding_bytes = False, 0
             await until(same(etcd, told))
 
     monkeypatch.setattr(member, "MAX_MESSAGE", 100_000)
@@ -357,12 +361,12 @@
     async def test() -> None:
         password = tmp_path / "password"
         password.write_text("s3cret\n")
-        standin = StandIn(Store(), "reader", "s3cret")
+        standin = FakeMember(Store(), "reader", "s3cret")
         standin.store.write([(key("a"), row())])
         async with following(standin, user="reader", password_file=str(password)) as (etcd, told, _):
             await until(same(etcd, told))
             await until(lambda: standin.watches)
-            standin.faults.tokens_run_out = True
+            standin.faults.expire_token = True
             standin.drop()
             await until(lambda: standin.logins >= 2 and standin.watches >= 3)
             etcd.put({"a": row(2)})
@@ -375,7 +379,7 @@
     async def test() -> None:
         password = tmp_path / "password"
         password.write_text("wrong")
-        standin = StandIn(Store(), "reader", "s3cret")
+        standin = FakeMember(Store(), "reader", "s3cret")
         standin.store.write([(key("a"), row())])
         known = [{"host": "k", "dial": "127.0.0.1:9", "health": "up"}]
         async with following(standin, user="reader", password_file=str(password), known=known) as (_, told, source_):
@@ -389,8 +393,8 @@
 
 def test_a_burst_does_not_hold_up_the_loop_and_the_drain_in_it_comes_first() -> None:
     async def test() -> None:
-        standin = StandIn(Store())
-        standin.faults.fragment = 1000
+        standin = FakeMember(Store())
+        standin.faults.max_fragment_events = 1000
         standin.store.write([(key(h), v) for h, v in fleet(1000).items()])
         async with following(standin) as (etcd, told, _):
             await until(same(etcd, told))
@@ -414,7 +418,7 @@
 
 def test_a_fault_of_the_code_is_a_failed_call_and_no_end(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        standin = StandIn(Store())
+        standin = FakeMember(Store())
         standin.store.write([(key("a"), row())])
         broken = [True]
         sound = member._slowly
@@ -447,7 +451,7 @@
 
 def test_another_source_counts_from_its_first_whole_list_on() -> None:
     async def test() -> None:
-        registry, standin = Registry(), await StandIn(Store()).start()
+        registry, standin = Registry(), await FakeMember(Store()).start()
         registry.rows = {"a": entry("a", 1), "b": entry("b", 2)}
         standin.store.write([(key("b"), row(2)), (key("c"), row(3))])
         standin.faults.refuse_lists = "not yet"
@@ -463,7 +467,7 @@
             await until(lambda: set(pools) == {numbers.number("b"), numbers.number("c")})
             calls = len(registry.calls)
             standin.store.write([(key("e"), row(5))])
-            standin.changed()
+            standin.notify_watchers()
             await until(lambda: numbers.number("e") in pools)
             node.upstream_set.replace_source(None)  # and back
             await until(lambda: len(registry.calls) > calls and numbers.number("a") in pools)
@@ -476,7 +480,7 @@
 
 def test_a_source_with_the_same_list_replaces_the_old_one_too() -> None:
     async def test() -> None:
-        registry, standin = Registry(), await StandIn(Store()).start()
+        registry, standin = Registry(), await FakeMember(Store()).start()
         registry.rows = {"a": entry("a", 1)}
         standin.store.write([(key("a"), json.dumps({k: v for k, v in entry("a", 1).items() if k != "host"}).encode())])
         async with balancer(registry, None) as node:
@@ -510,7 +514,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        standin = StandIn(Store())
+        standin = FakeMember(Store())
         standin.store.write([(key(h), v) for h, v in fleet(3).items()])
         async with following(standin) as (etcd, told, source_):
             await until(same(etcd, told))
--- a/tests/rehearsal/test_boxes.py
+++ b/tests/rehearsal/test_boxes.py
@@ -13,11 +13,11 @@
 from lanemux.rehearsal import framing
 from lanemux.rehearsal.addresses import Address, reserve
 from lanemux.rehearsal.books import BoxBooks
-from lanemux.rehearsal.box_host import Host
-from lanemux.rehearsal.box_world import World
+from lanemux.rehearsal.box_context import BoxContext
+from lanemux.rehearsal.box_host import BoxHost
 from lanemux.rehearsal.boxes import Boxes
 from lanemux.rehearsal.command import find
-from lanemux.rehearsal.looks import WatchedSelector
+from lanemux.rehearsal.loop_timing import PollTimingSelector
 from lanemux.rehearsal.plan import MS, draw
 from lanemux.rehearsal.request_form import target_of
 
@@ -29,17 +29,17 @@
 class Yard:
     """One open box of a plan without faults."""
 
-    world: World
-    host: Host
+    context: BoxContext
+    host: BoxHost
     address: Address
 
     def request(self, ask: int = 0) -> bytes:
-        row = self.world.plan.asks[ask]
+        row = self.context.plan.asks[ask]
         return framing.request(target_of(row), {"Req-Id": row.ids[0]})
 
 
 def on_boxes(test: Callable[[Yard], Awaitable[None]]) -> None:
-    selector = WatchedSelector()
+    selector = PollTimingSelector()
     loop = asyncio.SelectorEventLoop(selector)
     try:
         loop.run_until_complete(asyncio.wait_for(_played(test, selector), 20))
@@ -47,17 +47,17 @@
         loop.close()
 
 
-async def _played(test: Callable[[Yard], Awaitable[None]], looks: WatchedSelector) -> None:
+async def _played(test: Callable[[Yard], Awaitable[None]], looks: PollTimingSelector) -> None:
     async with yard(looks) as opened:
         await test(opened)
 
 
 @asynccontextmanager
-async def yard(looks: WatchedSelector) -> AsyncIterator[Yard]:
+async def yard(looks: PollTimingSelector) -> AsyncIterator[Yard]:
     loop = asyncio.get_running_loop()
     plan = draw(dataclasses.replace(find("calm-short"), seconds=1.0), 1)
     plan.asks[0] = dataclasses.replace(plan.asks[0], work_ns=20 * MS)
-    world = World(
+    context = BoxContext(
         loop,
         plan,
         looks,
@@ -67,17 +67,17 @@
         lambda box, at: None,
     )
     addresses = reserve(plan, "127.61")
-    boxes = Boxes(world, addresses)
-    boxes.open()
+    boxes = Boxes(context, addresses)
+    boxes.start_initial()
     try:
-        yield Yard(world, boxes.hosts[0], addresses[0][0])
+        yield Yard(context, boxes.hosts[0], addresses[0][0])
     finally:
-        boxes.end()
+        boxes.stop()
         await asyncio.sleep(0)
 
 
 async def answer(reader: asyncio.StreamReader) -> framing.Message:
-    framer = framing.Framer(answers=True)
+    framer = framing.MessageParser(responses=True)
     while True:
         data = await reader.read(65536)
         assert data, "the connection ended"
@@ -92,18 +92,18 @@
         old_writer.write(probe)
         assert json.loads((await answer(old_reader)).body) == {"inflight": 0, "queue": 0}
         yard.host.freeze(FREEZE_NS)
-        began = yard.world.now()
+        began = yard.context.now()
         old_writer.write(probe)
         new_reader, new_writer = await asyncio.open_connection(*yard.address)  # the kernel takes it, the box does not
         new_writer.write(yard.request())
         waits = [asyncio.ensure_future(answer(r)) for r in (old_reader, new_reader)]
         done, _ = await asyncio.wait(waits, timeout=0.1)
-        assert not done and yard.world.now() - began < FREEZE_NS
-        assert yard.world.books.attempts == [] and yard.world.books.probes == 1
+        assert not done and yard.context.now() - began < FREEZE_NS
+        assert yard.context.books.attempts == [] and yard.context.books.probes == 1
         assert (await waits[0]).status == (await waits[1]).status == 200
-        assert yard.world.now() - began >= FREEZE_NS
+        assert yard.context.now() - began >= FREEZE_NS
         # The books do not claim to know when it was sent: not before the freeze, and by the thaw.
-        (attempt,) = yard.world.books.attempts
+        (attempt,) = yard.context.books.attempts
         assert attempt.first_lo_ns <= began + 5 * MS and attempt.whole_ns >= began + FREEZE_NS
         for writer in (old_writer, new_writer):
             writer.close()
@@ -115,11 +115,11 @@
     async def test(yard: Yard) -> None:
         reader, writer = await asyncio.open_connection(*yard.address)
         writer.write(yard.request())
-        while not yard.world.books.attempts:
+        while not yard.context.books.attempts:
             await asyncio.sleep(0)
         yard.host.freeze(FREEZE_NS)
         assert (await answer(reader)).status == 200
-        (attempt,) = yard.world.books.attempts
+        (attempt,) = yard.context.books.attempts
         assert attempt.end_ns - attempt.whole_ns >= FREEZE_NS + 5 * MS
         writer.close()
 
@@ -141,7 +141,7 @@
         yard.host.start(cold=True)
         _, again = await asyncio.open_connection(*yard.address)
         again.close()
-        assert [life.state for life in yard.world.books.lives] == ["draining", "down", "cold"]
+        assert [life.state for life in yard.context.books.lives] == ["draining", "down", "cold"]
 
     on_boxes(test)
 
@@ -150,13 +150,13 @@
     async def test(yard: Yard) -> None:
         reader, writer = await asyncio.open_connection(*yard.address)
         writer.write(yard.request())
-        while not yard.world.books.attempts:
+        while not yard.context.books.attempts:
             await asyncio.sleep(0)
         yard.host.drain()
         yard.host.die()
         with pytest.raises(ConnectionResetError):
             await reader.read()
-        assert yard.world.books.attempts[0].how == "died"
+        assert yard.context.books.attempts[0].how == "died"
         writer.close()
 
     on_boxes(test)
@@ -171,7 +171,7 @@
             await asyncio.wait_for(asyncio.open_connection(*yard.address), SHORT_S)
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.shield(asyncio.ensure_future(reader.read(1))), SHORT_S)
-        assert yard.world.books.attempts == []
+        assert yard.context.books.attempts == []
         writer.close()
 
     on_boxes(test)
@@ -181,14 +181,14 @@
     async def test(yard: Yard) -> None:
         for target, name, status in (
             ("/rate-lookup/0", "0" * 16, 400),
-            ("/other", yard.world.plan.asks[0].ids[0], 400),
+            ("/other", yard.context.plan.asks[0].ids[0], 400),
             ("/rate-lookup/0", "", 404),
         ):
             reader, writer = await asyncio.open_connection(*yard.address)
             writer.write(framing.request(target, {"Req-Id": name} if name else {}))
             assert (await answer(reader)).status == status
             writer.close()
-        assert [o.rule for o in yard.world.books.oddities] == ["foreign"] * 3
+        assert [o.rule for o in yard.context.books.oddities] == ["foreign"] * 3
 
     on_boxes(test)
 
@@ -198,21 +198,21 @@
         first_reader, first = await asyncio.open_connection(*yard.address)
         _, second = await asyncio.open_connection(*yard.address)
         first.write(yard.request())
-        while not yard.world.books.attempts:
+        while not yard.context.books.attempts:
             await asyncio.sleep(0)
         second.write(yard.request())
         assert (await answer(first_reader)).status == 200
-        while len(yard.world.books.attempts) < 2:
+        while len(yard.context.books.attempts) < 2:
             await asyncio.sleep(0)
-        one, other = yard.world.books.attempts
+        one, other = yard.context.books.attempts
         assert one.open_ns > other.whole_ns  # both were out
         _, third = await asyncio.open_connection(*yard.address)
         second.close()
         await second.wait_closed()
         third.write(yard.request())
-        while len(yard.world.books.attempts) < 3:
+        while len(yard.context.books.attempts) < 3:
             await asyncio.sleep(0)
-        assert other.how == "cancelled" and other.open_ns <= yard.world.books.attempts[2].whole_ns
+        assert other.how == "cancelled" and other.open_ns <= yard.context.books.attempts[2].whole_ns
         for writer in (first, third):
             writer.close()
 
--- a/tests/rehearsal/test_pure.py
+++ b/tests/rehearsal/test_pure.py
@@ -38,7 +38,7 @@
     assert (box.report().inflight, box.report().queue) == (3, 2)
     assert box.advance(100 * MS + 1) == [jobs[0]]
     assert box.advance(301 * MS) == [jobs[1], jobs[2]]
-    assert box.next_ns() is None
+    assert box.next_completion_ns() is None
 
 
 def test_while_it_is_frozen_no_work_is_done_and_the_report_stays() -> None:
@@ -47,25 +47,25 @@
     assert box.report().inflight == 1
     box.advance(20 * MS)
     box.freeze(260 * MS)
-    assert box.advance(259 * MS) == [] and box.next_ns() == 290 * MS + 1
+    assert box.advance(259 * MS) == [] and box.next_completion_ns() == 290 * MS + 1
     assert box.advance(289 * MS) == []
     assert box.advance(290 * MS + 1) == [job]
 
 
 def test_a_neighbour_takes_its_share() -> None:
     box = model()
-    box.stolen = 0.5
+    box.stolen_share = 0.5
     job = box.offer(50 * MS, MEAN)
     assert box.advance(99 * MS) == [] and box.advance(101 * MS) == [job]
 
 
 def test_a_cold_box_begins_at_its_share_and_is_warm_in_time() -> None:
     box = model(cold=True)
-    assert box.warmth() == 0.31
+    assert box.warm_fraction() == 0.31
     box.advance(4 * SECOND)
-    assert box.warmth() == pytest.approx(0.655)
+    assert box.warm_fraction() == pytest.approx(0.655)
     box.advance(8 * SECOND)
-    assert box.warmth() == 1.0 and not box.cold
+    assert box.warm_fraction() == 1.0 and not box.cold
 
 
 def test_a_cold_box_falls_over_when_it_is_sent_too_much_within_the_window_and_only_then() -> None:
@@ -73,24 +73,24 @@
     box = model(cold=True)
     for _ in range(17):
         box.offer(75 * MS, MEAN)
-    assert not box.fallen and 0.9 < box.pushed_most < 1
+    assert not box.crashed and 0.9 < box.max_budget_share < 1
     box.offer(75 * MS, MEAN)  # turned away, and a push all the same
-    assert box.fallen
+    assert box.crashed
     spread = model(cold=True)
     for i in range(60):
         spread.advance(i * 100 * MS)
         spread.offer(75 * MS, MEAN)
-    assert not spread.fallen
+    assert not spread.crashed
     warm = model()
     for _ in range(60):
         warm.offer(75 * MS, MEAN)
-    assert not warm.fallen
+    assert not warm.crashed
 
 
 def test_one_heavy_request_alone_pushes_nobody_over() -> None:
     box = model(cold=True)
     box.offer(29 * MEAN, MEAN)
-    assert not box.fallen
+    assert not box.crashed
 
 
 def test_a_cancel_leaves_running_work_and_drops_waiting_work_only_on_some_days() -> None:
@@ -253,25 +253,25 @@
 
 @given(st.lists(st.binary(max_size=300), max_size=4), st.lists(st.integers(1, 50), min_size=1, max_size=20))
 def test_messages_are_the_same_however_their_bytes_are_cut(bodies: list[bytes], cuts: list[int]) -> None:
-    data = b"".join(framing.answer(200, body) for body in bodies)
-    framer, at = framing.Framer(answers=True), 0
+    data = b"".join(framing.response(200, body) for body in bodies)
+    framer, at = framing.MessageParser(responses=True), 0
     found: list[framing.Message] = []
     while at < len(data):
         size = cuts[len(found) % len(cuts)]
         found += framer.feed(data[at : at + size])
         at += size
-    assert [m.body for m in found] == bodies and not framer.begun
+    assert [m.body for m in found] == bodies and not framer.has_partial
 
 
 def test_chunked_answers_announced_ones_and_ones_that_end_by_close_are_read() -> None:
-    framer = framing.Framer(answers=True)
+    framer = framing.MessageParser(responses=True)
     (whole,) = framer.feed(
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
     )
     assert (whole.status, whole.body) == (200, b"abcde")
     assert framer.feed(b"HTTP/1.1 200 OK\r\n\r\nabc") == []
-    last = framer.end()
+    last = framer.finish()
     assert last is not None and last.body == b"abc"
 
 
@@ -288,4 +288,4 @@
 )
 def test_what_is_no_answer_is_unreadable(data: bytes) -> None:
     with pytest.raises(framing.Unreadable):
-        framing.Framer(answers=True).feed(data)
+        framing.MessageParser(responses=True).feed(data)
--- a/tests/rehearsal/test_report.py
+++ b/tests/rehearsal/test_report.py
@@ -90,7 +90,7 @@
 def test_a_terminal_is_told_how_far_a_run_is() -> None:
     console = Console(width=100, force_terminal=True, file=io.StringIO())
     plan = broken_run().plan
-    callers = cast(Callers, SimpleNamespace(plan=plan, asked=12, books=CallerBooks()))
+    callers = cast(Callers, SimpleNamespace(plan=plan, asked=12, records=CallerBooks()))
     with Bar(console) as bar:
         bar.tell(4.0, callers)
     assert "4 of 10 s" in (told := cast(io.StringIO, console.file).getvalue()) and "12 asks, 0 tries" in told
--- a/tests/rehearsal/test_starvation.py
+++ b/tests/rehearsal/test_starvation.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from lanemux.rehearsal.balancers import stolen_s
+from lanemux.rehearsal.balancers import cpu_steal_s
 from lanemux.rehearsal.calls import life
 from lanemux.rehearsal.calls.life import Life, Shortage, Starvation
-from lanemux.rehearsal.looks import LatenessLog
+from lanemux.rehearsal.loop_timing import LoopLagLog
 
 
 def test_a_kit_that_was_late_is_told_and_only_for_its_span(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(life, "is_runnable", lambda pid: False)
 
     async def test() -> tuple[Shortage, Shortage]:
-        log = LatenessLog(asyncio.get_running_loop())
+        log = LoopLagLog(asyncio.get_running_loop())
         await asyncio.sleep(0.02)
         held_up = Starvation(log, os.getpid())
         time.sleep(0.2)
@@ -38,11 +38,11 @@
 
 def test_a_wait_for_a_processor_that_goes_on_is_counted_once_it_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
     waits_ns, runnable = iter((0, 0, 0, 0, 900_000_000, 900_000_000)), iter((True, True, True, True, False))
-    monkeypatch.setattr(life, "waited_ns", lambda pid: next(waits_ns))
+    monkeypatch.setattr(life, "cpu_wait_ns", lambda pid: next(waits_ns))
     monkeypatch.setattr(life, "is_runnable", lambda pid: next(runnable))
 
     async def test() -> Shortage:
-        log = LatenessLog(asyncio.get_running_loop())
+        log = LoopLagLog(asyncio.get_running_loop())
         found = await Starvation(log, os.getpid()).look()
         log.stop()
         return found
@@ -80,4 +80,4 @@
     line = f"cpu  1 2 3 4 5 6 7 {40 * ticks_a_second} 9 10\n"
     monkeypatch.setattr(Path, "read_text", lambda path: line)
     monkeypatch.setattr(os, "cpu_count", lambda: 10)
-    assert stolen_s() == 4.0
+    assert cpu_steal_s() == 4.0
