--- a/lanemux/rehearsal/balancers.py
+++ b/lanemux/rehearsal/balancers.py
@@ -1,4 +1,4 @@
-"""The balancers under rehearsal: real processes, started by a command, told what the platform tells."""
+"""Starts, stops and inspects the balancers under test: real processes with the platform's configuration."""
 
 from __future__ import annotations
 
@@ -14,66 +14,67 @@
 
 from lanemux.rehearsal.addresses import Address, bound
 
-READY_S = 30.0  # a balancer that is not ready by then has failed to start
-LEAVE_S = 4.5  # after SIGTERM: the longest deadline and the platform's 0.7 s
-LOOK_S = 0.02
-SERIES_S = 0.01  # between signals that follow one another
-MEMORY_MB, SOCKETS = 192, 1024  # what a balancer is told of its limits; the kit does not enforce them
+READY_TIMEOUT_S = 30.0  # a balancer that is not ready by then has failed to start
+STOP_TIMEOUT_S = 4.5  # after SIGTERM: the longest request deadline plus the platform's 0.7 s
+POLL_INTERVAL_S = 0.02
+SIGNAL_INTERVAL_S = 0.01  # between repeated signals
+MEMORY_MB, SOCKETS = 192, 1024  # limits given in the configuration; the rehearsal does not enforce them
 
 
 @dataclass(slots=True)
 class BalancerEndpoints:
-    """Where a balancer listens and whom it knows."""
+    """The addresses that a balancer listens on and connects to, and its operators' file."""
 
     listen: Address
     discovery: Address
     peer_listen: Address
     peers: list[Address]
     peers_all: Address
-    operators: str = ""  # what its operators' file says; "": it has none
+    operators: str = ""  # content of its operators' file (TOML); "": it has none
 
 
-def text(address: Address) -> str:
+def host_port(address: Address) -> str:
+    """The address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 def configuration(
     name: str,
-    place: BalancerEndpoints,
+    endpoints: BalancerEndpoints,
     seed: str,
     known: dict[str, object],
     settings: dict[str, object],
     sockets: int = SOCKETS,
 ) -> dict[str, object]:
-    """What a balancer finds in its configuration file (protocol page)."""
+    """The content of a balancer's configuration file, as the protocol page defines it."""
     return {
         "name": name,
-        "listen": text(place.listen),
-        "discovery": text(place.discovery),
+        "listen": host_port(endpoints.listen),
+        "discovery": host_port(endpoints.discovery),
         "seed": seed,
         "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets},
-        "peer_listen": text(place.peer_listen),
-        "peers": [text(a) for a in place.peers],
-        "peers_all": text(place.peers_all),
+        "peer_listen": host_port(endpoints.peer_listen),
+        "peers": [host_port(a) for a in endpoints.peers],
+        "peers_all": host_port(endpoints.peers_all),
         "known": known,
         "settings": settings,
     }
 
 
 def free_address(host: str, datagrams: bool = False) -> Address:
-    """An address of that host that is free now; the kit's hosts are its own, so it stays free."""
+    """A free address on that host. It stays free: only the rehearsal uses these loopback hosts."""
     if not datagrams:
-        taken = bound((host, 0))
+        sock = bound((host, 0))
     else:
-        taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        taken.bind((host, 0))
-    address: Address = taken.getsockname()
-    taken.close()
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.bind((host, 0))
+    address: Address = sock.getsockname()
+    sock.close()
     return address
 
 
 class BalancerProcess:
-    """One balancer's process, over its restarts."""
+    """One balancer across restarts; each start runs a new process."""
 
     def __init__(
         self,
@@ -88,14 +89,15 @@
         self._command, self._folder, self._settings, self._seed = command, folder, settings, seed
         self._starts = 0
         self.process: subprocess.Popen[bytes] | None = None
-        self.expected_down = False  # killed or ended by the kit
+        self.expected_down = False  # killed or terminated by the rehearsal
 
     @property
     def log(self) -> Path:
+        """The file that receives the process's standard output and error."""
         return self._folder / f"balancer-{self.number}.log"
 
     def start(self, known: dict[str, object]) -> None:
-        """Start it with the list as it was last known."""
+        """Start the process; `known` is the upstream list that its configuration holds."""
         self._starts += 1
         self.expected_down = False
         name = f"n{self.number}"
@@ -128,62 +130,64 @@
             )
 
     async def wait_until_ready(self) -> bool:
-        """Wait until it says that it is ready; False if it ends or takes too long."""
-        end = asyncio.get_running_loop().time() + READY_S
+        """Wait until its readiness endpoint returns 200; False if the process exits or the wait times out."""
+        end = asyncio.get_running_loop().time() + READY_TIMEOUT_S
         while self.process is not None and self.process.poll() is None:
-            if await _says_ready(self.endpoints.listen):
+            if await _is_ready(self.endpoints.listen):
                 return True
             if asyncio.get_running_loop().time() > end:
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
     @property
     def crashed(self) -> bool:
+        """Whether the process exited although the rehearsal did not stop it."""
         return not self.expected_down and self.process is not None and self.process.poll() is not None
 
     def kill(self) -> None:
+        """Send SIGKILL."""
         self.expected_down = True
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
 
     async def terminate(self, kill_at_s: float, signals: bool) -> str:
-        """SIGTERM now and SIGKILL at that time of the loop's clock, with further signals in between if told so.
+        """Send SIGTERM now and SIGKILL at `kill_at_s` on the loop's clock; `signals`: keep sending signals in between.
 
-        Gives what was wrong with its end, or an empty text."""
+        Returns what was wrong with the exit, or an empty string."""
         if self.process is None or self.process.poll() is not None:
             return ""
         self.expected_down = True
         self.process.send_signal(signal.SIGTERM)
         loop = asyncio.get_running_loop()
         while self.process.poll() is None and loop.time() < kill_at_s:
-            await asyncio.sleep(SERIES_S)
+            await asyncio.sleep(SIGNAL_INTERVAL_S)
             if signals:
                 for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-                    self.process.send_signal(number)  # without effect once it has been waited for
+                    self.process.send_signal(number)  # no effect once Popen has reaped the process
         if self.process.poll() is None:
             self.process.kill()
-            return ""  # what it had not answered shows in the books
+            return ""  # requests without an answer show in the records
         status = self.process.returncode
         return f"balancer {self.number} was told to end and did so with status {status}" if status else ""
 
     async def stop(self) -> str:
-        """A planned end; gives what was wrong with it, or an empty text."""
+        """A graceful shutdown; returns what was wrong with it, or an empty string."""
         if self.process is None or self.process.poll() is not None:
             return ""
         self.expected_down = True
         self.process.send_signal(signal.SIGTERM)
-        end = asyncio.get_running_loop().time() + LEAVE_S
+        end = asyncio.get_running_loop().time() + STOP_TIMEOUT_S
         while self.process.poll() is None:
             if asyncio.get_running_loop().time() > end:
                 self.process.kill()
-                return f"balancer {self.number} did not end within {LEAVE_S} s of SIGTERM"
-            await asyncio.sleep(LOOK_S)
+                return f"balancer {self.number} did not end within {STOP_TIMEOUT_S} s of SIGTERM"
+            await asyncio.sleep(POLL_INTERVAL_S)
         status = self.process.returncode
         return f"balancer {self.number} ended with status {status}" if status else ""
 
 
-async def _says_ready(address: Address) -> bool:
+async def _is_ready(address: Address) -> bool:
     try:
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(*address)
@@ -195,11 +199,11 @@
         return False
 
 
-STOLEN_FIELD = 8  # of the first line of /proc/stat: cpu user nice system idle iowait irq softirq steal
+STEAL_FIELD = 8  # of the first line of /proc/stat: cpu user nice system idle iowait irq softirq steal
 
 
 def cpu_wait_ns(pid: int) -> int:
-    """How long a process has waited for a processor so far (Linux, /proc/PID/schedstat); 0 if not told."""
+    """Total time that a process has waited for a CPU (Linux, /proc/PID/schedstat); 0 if unavailable."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1])
     except (OSError, ValueError, IndexError):
@@ -207,7 +211,7 @@
 
 
 def cpu_time_s(pid: int) -> float:
-    """Processor time of a process so far (Linux, /proc/PID/schedstat); 0 if not told."""
+    """CPU time that a process has used (Linux, /proc/PID/schedstat); 0 if unavailable."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
     except (OSError, ValueError, IndexError):
@@ -215,7 +219,7 @@
 
 
 def cpu_pressure_ns() -> int:
-    """How long anything on this machine has waited for a processor (Linux, /proc/pressure/cpu); 0 if not told."""
+    """Total time that any task on this machine has waited for a CPU (Linux, /proc/pressure/cpu); 0 if unavailable."""
     try:
         return int(Path("/proc/pressure/cpu").read_text().splitlines()[0].rpartition("total=")[2]) * 1000
     except (OSError, ValueError, IndexError):
@@ -223,16 +227,16 @@
 
 
 def cpu_steal_s() -> float:
-    """How long each processor of this machine was taken by its host so far, the mean in s (Linux, /proc/stat)."""
+    """Total steal time (taken by the hypervisor), in s: the mean over the CPUs of this machine (Linux, /proc/stat)."""
     try:
-        total = int(Path("/proc/stat").read_text().splitlines()[0].split()[STOLEN_FIELD])
+        total = int(Path("/proc/stat").read_text().splitlines()[0].split()[STEAL_FIELD])
     except (OSError, ValueError, IndexError):
         return 0.0
     return total / os.sysconf("SC_CLK_TCK") / (os.cpu_count() or 1)
 
 
 def descriptors_and_memory_mb(pid: int) -> tuple[int, float]:
-    """Open descriptors and resident memory in MB of a process; zeros if it is gone."""
+    """Number of open descriptors and resident memory in MB of a process; zeros if it has exited."""
     try:
         descriptors = len(os.listdir(f"/proc/{pid}/fd"))
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
