--- a/lanemux/rehearsal/box.py
+++ b/lanemux/rehearsal/box.py
@@ -1,7 +1,7 @@
-"""What one quote box does with the work it is sent: slots, queue, speed, cold start, freeze, fall. No I/O.
+"""Simulates how one quote box processes its work: slots, queue, speed, cold start, freeze, overload crash. No I/O.
 
-The model is handed the time (nanoseconds, never backwards) and told what happens; it answers what is done and
-when to look again. Work is in nanoseconds of a core of speed 1.
+The caller passes in the time (nanoseconds, monotonic) and the events; the model returns the finished jobs and the
+time at which to call it again. Work is measured in nanoseconds of a core of speed 1.
 """
 
 from __future__ import annotations
@@ -12,23 +12,24 @@
 from lanemux.rehearsal.plan import Box
 from lanemux.rehearsal.scenario import Fleet
 
-WARM_STEP_NS = 20_000_000  # a cold box's speed is taken as even for so long
-FALL_SLACK_NS = 150_000_000  # two requests' work above the budget are chance
-HEAVIEST = 3.0  # times a class's mean work that one request counts for in the budget: the rule is on what
-# balancers send together; the heavy request that nobody could know to be so is not pushing
+WARM_STEP_NS = 20_000_000  # a cold box's speed is treated as constant over a step of this length
+BUDGET_SLACK_NS = 150_000_000  # work of two requests, which may exceed the budget by chance
+# Upper bound on what one request counts towards the budget, as a multiple of its class's mean work. The rule is about
+# the sum that balancers send; a single heavy request that no balancer could have known to be heavy does not break it.
+MAX_COUNTED_WORK = 3.0
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One attempt's work."""
+    """The work of one attempt."""
 
-    left_ns: float
+    remaining_ns: float
     done: bool = False
 
 
 @dataclass(slots=True)
-class Load:
-    """What a report tells."""
+class LoadReport:
+    """The load that a box reports at /stats."""
 
     inflight: int = 0
     queue: int = 0
@@ -36,49 +37,49 @@
 
 @dataclass(slots=True)
 class BoxModel:
-    """One process of a quote box, from its start on."""
+    """One process of a quote box, from its start."""
 
     box: Box
     fleet: Fleet
     now_ns: int
-    cold: bool  # it has just started; else it is warm
+    cold: bool  # just started, below full speed; False: warm
     cancels_queued: bool = False
-    born_ns: int = 0
+    started_ns: int = 0
     running: list[Job] = field(default_factory=list)
     queue: deque[Job] = field(default_factory=deque)
     frozen_until_ns: int = 0
-    stolen_share: float = 0.0  # share of the machine that another program takes
+    stolen_share: float = 0.0  # share of the machine used by another program (a noisy neighbour)
     draining: bool = False
     crashed: bool = False
-    worked_ns: float = 0.0  # since its start
+    work_done_ns: float = 0.0  # since its start
     connections: int = 0
-    max_budget_share: float = 0.0  # largest share of its budget in any window while it was cold
-    _window: deque[tuple[int, float]] = field(default_factory=deque)  # what was sent, and when
-    _sent_ns: float = 0.0  # sum of the window
-    _load: Load = field(default_factory=Load)
-    _load_ns: int = -1
+    max_budget_share: float = 0.0  # while cold: the largest share of its overload budget used in any window
+    _window: deque[tuple[int, float]] = field(default_factory=deque)  # (time, work) of what was sent recently
+    _window_work_ns: float = 0.0  # sum of the window
+    _load: LoadReport = field(default_factory=LoadReport)
+    _load_at_ns: int = -1  # when `_load` was taken
 
     def __post_init__(self) -> None:
-        self.born_ns = self.now_ns
+        self.started_ns = self.now_ns
 
-    # -- what it can do --
+    # -- speed --
 
     def warm_fraction(self) -> float:
-        """The share of its capacity that it has: from cold_from to 1, by time or by work done."""
+        """Share of full capacity: grows from cold_from to 1 with time or with work done, whichever is further."""
         if not self.cold:
             return 1.0
-        part = max((self.now_ns - self.born_ns) / self.box.cold_ns, self.worked_ns / self.box.warm_work_ns)
-        if part >= 1:
+        progress = max((self.now_ns - self.started_ns) / self.box.cold_ns, self.work_done_ns / self.box.warm_work_ns)
+        if progress >= 1:
             self.cold = False
             return 1.0
-        return self.box.cold_from + (1 - self.box.cold_from) * part
+        return self.box.cold_from + (1 - self.box.cold_from) * progress
 
     def capacity(self) -> float:
-        """Work a nanosecond that it could do now, undisturbed."""
+        """Work per nanosecond that it could do now, undisturbed."""
         return self.box.speed * self.fleet.cores * self.warm_fraction()
 
     def _rate(self) -> float:
-        """Work a nanosecond that goes into each running job."""
+        """Work per nanosecond done on each running job."""
         held, cores = len(self.running) + len(self.queue), self.fleet.cores
         rate = self.capacity() * (1 - self.stolen_share)
         rate *= 1 - self.fleet.full_tax * min(1.0, self.connections / self.fleet.connections)
@@ -89,7 +90,7 @@
     # -- time --
 
     def advance(self, now_ns: int) -> list[Job]:
-        """Work on until now; the jobs that were finished by then, in order."""
+        """Advance to `now_ns`; returns the jobs that finished by then, in order."""
         finished: list[Job] = []
         while self.now_ns < now_ns:
             if self.now_ns < self.frozen_until_ns:
@@ -99,37 +100,37 @@
                 self.now_ns = now_ns
                 break
             rate = self._rate()
-            step = min(now_ns - self.now_ns, max(1, int(min(j.left_ns for j in self.running) / rate) + 1))
+            step = min(now_ns - self.now_ns, max(1, int(min(j.remaining_ns for j in self.running) / rate) + 1))
             if self.cold:
                 step = min(step, WARM_STEP_NS)
             for job in self.running:
-                job.left_ns -= rate * step
-                self.worked_ns += rate * step
+                job.remaining_ns -= rate * step
+                self.work_done_ns += rate * step
             self.now_ns += step
-            for job in [j for j in self.running if j.left_ns <= 0]:
-                self._leave(job)
+            for job in [j for j in self.running if j.remaining_ns <= 0]:
+                self._finish(job)
                 finished.append(job)
         return finished
 
     def next_completion_ns(self) -> int | None:
-        """When the next job may be done, as things stand; None: none is running."""
+        """When the next job may finish at the current rate; None if none is running."""
         if not self.running:
             return None
         start = max(self.now_ns, self.frozen_until_ns)
-        step = int(min(j.left_ns for j in self.running) / self._rate()) + 1
+        step = int(min(j.remaining_ns for j in self.running) / self._rate()) + 1
         return start + (min(step, WARM_STEP_NS) if self.cold else step)
 
-    def _leave(self, job: Job) -> None:
+    def _finish(self, job: Job) -> None:
         job.done = True
         self.running.remove(job)
         if self.queue:
             self.running.append(self.queue.popleft())
 
-    # -- what is done to it --
+    # -- events --
 
     def offer(self, work_ns: float, mean_ns: float) -> Job | None:
-        """Take an attempt, or turn it away: the queue is full, or it drains. Both push a cold box."""
-        self._push(min(work_ns, HEAVIEST * mean_ns))
+        """Accept an attempt; None if the queue is full or the box drains. Both count towards a cold box's budget."""
+        self._record_sent(min(work_ns, MAX_COUNTED_WORK * mean_ns))
         if self.crashed or self.draining:
             return None
         job = Job(work_ns)
@@ -141,35 +142,35 @@
             return None
         return job
 
-    def _push(self, work_ns: float) -> None:
-        """Book what was sent; a cold box that is sent too much within the window falls over."""
-        span = int(self.fleet.fall_ms * 1_000_000)
-        while self._window and self._window[0][0] <= self.now_ns - span:
-            self._sent_ns -= self._window.popleft()[1]
+    def _record_sent(self, work_ns: float) -> None:
+        """Record work that was sent; a cold box that is sent more than its budget within the window crashes."""
+        window_ns = int(self.fleet.fall_ms * 1_000_000)
+        while self._window and self._window[0][0] <= self.now_ns - window_ns:
+            self._window_work_ns -= self._window.popleft()[1]
         self._window.append((self.now_ns, work_ns))
-        self._sent_ns += work_ns
+        self._window_work_ns += work_ns
         if self.warm_fraction() < 1:
-            budget = self.fleet.fall_multiple * self.capacity() * span + FALL_SLACK_NS
-            self.max_budget_share = max(self.max_budget_share, self._sent_ns / budget)
-            self.crashed = self.crashed or self._sent_ns > budget
+            budget = self.fleet.fall_multiple * self.capacity() * window_ns + BUDGET_SLACK_NS
+            self.max_budget_share = max(self.max_budget_share, self._window_work_ns / budget)
+            self.crashed = self.crashed or self._window_work_ns > budget
 
-    def charge(self, work_ns: float) -> None:
-        """Other work (a probe, a handshake) that is done before what is running goes on."""
+    def add_overhead(self, work_ns: float) -> None:
+        """Add overhead (a probe, a handshake) that delays the running work."""
         if self.running:
-            self.running[0].left_ns += work_ns
+            self.running[0].remaining_ns += work_ns
 
     def cancel(self, job: Job) -> None:
-        """Nobody waits any more: what runs goes on; what waits is dropped where the day has it so."""
+        """The client no longer waits: running work continues; queued work is dropped only with `cancels_queued`."""
         if self.cancels_queued and job in self.queue:
             self.queue.remove(job)
 
     def freeze(self, until_ns: int) -> None:
-        """Stand still until then: no work is done, and the report stays as it is."""
+        """Do no work until then, and leave the load report unchanged."""
         self.frozen_until_ns = max(self.frozen_until_ns, until_ns)
 
-    def report(self) -> Load:
-        """What it holds, as last refreshed."""
-        if self._load_ns < 0 or self.now_ns - self._load_ns >= self.box.report_ns:
-            self._load = Load(len(self.running) + len(self.queue), len(self.queue))
-            self._load_ns = self.now_ns
+    def report(self) -> LoadReport:
+        """The load as of the last refresh, which is done every `report_ns`."""
+        if self._load_at_ns < 0 or self.now_ns - self._load_at_ns >= self.box.report_ns:
+            self._load = LoadReport(len(self.running) + len(self.queue), len(self.queue))
+            self._load_at_ns = self.now_ns
         return self._load
--- a/lanemux/rehearsal/box_context.py
+++ b/lanemux/rehearsal/box_context.py
@@ -1,4 +1,4 @@
-"""What all boxes of a run share: the loop, the plan, the books, and what is known of the balancers' ends."""
+"""What all boxes of a run share: the loop, the plan, the records and the sources of event times."""
 
 from __future__ import annotations
 
@@ -13,40 +13,41 @@
 from lanemux.rehearsal.plan import Ask, Plan
 
 
-class Sight(Protocol):
-    """What a loop knows exactly of a balancer's end of a connection, where it knows more than its looks tell."""
+class ExactTimes(Protocol):
+    """Exact times of events at a balancer's end of a connection, for loops that know more than their poll times."""
 
     def first_byte_sent_ns(self, transport: asyncio.BaseTransport) -> int:
-        """When the first of the bytes that were read last was written there."""
+        """When the first of the bytes that were read last was sent."""
 
     def last_byte_sent_ns(self, transport: asyncio.BaseTransport) -> int:
-        """And the last of them."""
+        """When the last of the bytes that were read last was sent."""
 
     def open_until_ns(self, transport: asyncio.BaseTransport) -> int:
-        """Until when that end has been open; now, if it still is."""
+        """When that end was closed; now, if it is still open."""
 
 
 @dataclass(slots=True)
 class BoxContext:
-    """What all boxes share."""
+    """Shared by all boxes of a run."""
 
     loop: asyncio.AbstractEventLoop
     plan: Plan
-    looks: PollTimes
-    books: BoxBooks
-    zero_ns: int  # the run's start on the loop's clock
-    asks: dict[str, Ask]  # by the id of each of their tries
-    fell: Callable[[int, int], None]  # a box has fallen over, at a time
-    sight: Sight | None = None
+    poll_times: PollTimes
+    records: BoxBooks
+    start_ns: int  # the start of the run on the loop's clock
+    asks: dict[str, Ask]  # by the request id of each of their tries
+    on_overload_crash: Callable[[int, int], None]  # called with the box and the time
+    exact_times: ExactTimes | None = None
     socket: Callable[[], socket.socket] = socket.socket
 
     def now(self) -> int:
         """Nanoseconds since the start of the run."""
-        return int(self.loop.time() * 1e9) - self.zero_ns
+        return int(self.loop.time() * 1e9) - self.start_ns
 
-    def look(self, back: int = 0) -> int:
-        """When the loop looked at its sockets, `back` looks before the latest one."""
-        return self.looks.poll_times_ns[-1 - back] - self.zero_ns
+    def poll_time(self, back: int = 0) -> int:
+        """When the loop polled its sockets, `back` polls before the latest one."""
+        return self.poll_times.poll_times_ns[-1 - back] - self.start_ns
 
-    def at(self, at_ns: int, do: Callable[..., object], *args: object) -> asyncio.TimerHandle:
-        return self.loop.call_at((at_ns + self.zero_ns) / 1e9, do, *args)
+    def call_at(self, at_ns: int, callback: Callable[..., object], *args: object) -> asyncio.TimerHandle:
+        """Schedule a callback at a time of the run."""
+        return self.loop.call_at((at_ns + self.start_ns) / 1e9, callback, *args)
--- a/lanemux/rehearsal/boxes.py
+++ b/lanemux/rehearsal/boxes.py
@@ -1,4 +1,4 @@
-"""All quote boxes of a run on their sockets, and the plan's faults done to them."""
+"""All quote boxes of a run on their sockets, and the faults that the plan injects into them."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 from lanemux.rehearsal.plan import Happening
 from lanemux.rehearsal.scenario import AT_BALANCERS
 
-LOAD_SAMPLE_INTERVAL_S = 0.1  # how often the books note what each box holds
-SWEEP_S = 1.0  # and connections that stood idle are looked for
+LOAD_SAMPLE_INTERVAL_S = 0.1  # how often the number of requests at each box is recorded
+IDLE_CHECK_INTERVAL_S = 1.0  # how often idle connections are closed
 
 
 class Boxes:
-    """All boxes of a run, and what the plan does to them."""
+    """All boxes of a run, and the schedule of their faults."""
 
     def __init__(self, context: BoxContext, addresses: list[list[Address]]) -> None:
         self.context = context
         self.hosts = [BoxHost(context, i, addresses[box.slot]) for i, box in enumerate(context.plan.boxes)]
         self._timers: list[asyncio.TimerHandle] = []
-        self._ticks: dict[Callable[[BoxHost], None], asyncio.TimerHandle] = {}
-        self._lateness: LoopLagRecorder | None = None
+        self._periodic: dict[Callable[[BoxHost], None], asyncio.TimerHandle] = {}
+        self._loop_lag: LoopLagRecorder | None = None
 
     def start_initial(self) -> None:
-        """Start the boxes that are there at first, warm."""
+        """Start the boxes that run from the beginning, warm."""
         for number in self.context.plan.first:
             self.hosts[number].start(cold=False)
 
     def start_schedule(self, measured: bool = True) -> None:
-        """The run begins: the plan's faults come at their times. `measured`: book how late this loop runs."""
+        """Schedule the plan's faults, which start the run. `measured`: record the lag of this loop."""
         for happening in self.context.plan.happenings:
             if happening.what not in AT_BALANCERS:
-                self._timers.append(self.context.at(happening.at_ns, self.apply, happening))
+                self._timers.append(self.context.call_at(happening.at_ns, self.apply, happening))
         if measured:
-            self._lateness = LoopLagRecorder(self.context.loop, self.context.books.lag_ns)
-        self._tick(LOAD_SAMPLE_INTERVAL_S, BoxHost.sample)
-        self._tick(SWEEP_S, BoxHost.sweep)
+            self._loop_lag = LoopLagRecorder(self.context.loop, self.context.records.lag_ns)
+        self._run_periodically(LOAD_SAMPLE_INTERVAL_S, BoxHost.sample_load)
+        self._run_periodically(IDLE_CHECK_INTERVAL_S, BoxHost.close_idle_connections)
 
-    def _tick(self, every_s: float, do: Callable[[BoxHost], None]) -> None:
+    def _run_periodically(self, interval_s: float, action: Callable[[BoxHost], None]) -> None:
         for host in self.hosts:
-            do(host)
-        self._ticks[do] = self.context.loop.call_later(every_s, self._tick, every_s, do)
+            action(host)
+        self._periodic[action] = self.context.loop.call_later(interval_s, self._run_periodically, interval_s, action)
 
     def apply(self, happening: Happening) -> None:
-        """Do to a box what a plan says."""
+        """Apply an event of the plan to its box."""
         host = self.hosts[happening.who]
         match happening.what:
             case "start":
@@ -56,24 +56,24 @@
             case "drain":
                 host.drain()
             case "leave" | "die":
-                host.die()
+                host.terminate()
             case "vanish":
-                host.vanish()
+                host.isolate()
             case "return":
-                host.come_back()
+                host.reconnect()
             case "freeze":
                 host.freeze(happening.until_ns - happening.at_ns)
             case "neighbour":
-                host.neighbour(happening.size, happening.until_ns)
+                host.add_noisy_neighbour(happening.size, happening.until_ns)
 
     def stop(self) -> BoxBooks:
-        """Stop, and hand over the books; what was still out is noted as it is."""
-        for timer in (*self._timers, *self._ticks.values()):
+        """Stop all boxes and return the records, with unfinished attempts as they are."""
+        for timer in (*self._timers, *self._periodic.values()):
             timer.cancel()
-        if self._lateness is not None:
-            self._lateness.stop()
-        open_at_end = self.context.books.open_at_end
+        if self._loop_lag is not None:
+            self._loop_lag.stop()
+        open_at_end = self.context.records.open_at_end
         for host in self.hosts:
-            host.die()
-        self.context.books.open_at_end = open_at_end
-        return self.context.books
+            host.terminate()
+        self.context.records.open_at_end = open_at_end
+        return self.context.records
--- a/lanemux/rehearsal/boxes_process.py
+++ b/lanemux/rehearsal/boxes_process.py
@@ -1,4 +1,4 @@
-"""The process in which the boxes run, apart from the callers: one core each."""
+"""The process in which the boxes run, separate from the callers: one core each."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def main(pipe: Connection, scenario: Scenario, seed: int, prefix: str) -> None:
-    """Serve until told to stop. The parent is told the addresses, of boxes that fall, and the books."""
+    """Serve until told to stop. The parent receives the addresses, each overload crash of a box, and the records."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to all processes; the parent ends this one
     selector = PollTimingSelector()
     loop = asyncio.SelectorEventLoop(selector)
@@ -26,41 +26,41 @@
     try:
         loop.run_until_complete(_serve(pipe, scenario, seed, prefix, selector))
     except (EOFError, BrokenPipeError):
-        pass  # the parent has gone
+        pass  # the parent has exited
     finally:
         loop.close()
 
 
-async def _serve(pipe: Connection, scenario: Scenario, seed: int, prefix: str, looks: PollTimingSelector) -> None:
+async def _serve(pipe: Connection, scenario: Scenario, seed: int, prefix: str, poll_times: PollTimingSelector) -> None:
     loop = asyncio.get_running_loop()
     plan = draw(scenario, seed)
     asks = {name: ask for ask in plan.asks for name in ask.ids}
-    world = BoxContext(
-        loop, plan, looks, BoxBooks(), int(loop.time() * 1e9), asks, lambda box, at: pipe.send(("fell", box, at))
+    context = BoxContext(
+        loop, plan, poll_times, BoxBooks(), int(loop.time() * 1e9), asks, lambda box, at: pipe.send(("fell", box, at))
     )
-    loop.set_exception_handler(lambda _, context: world.books.faults.append(describe_exception(context)))
+    loop.set_exception_handler(lambda _, error: context.records.faults.append(describe_exception(error)))
     addresses = reserve(plan, prefix)
-    boxes = Boxes(world, addresses)
+    boxes = Boxes(context, addresses)
     boxes.start_initial()
     pipe.send(("addresses", addresses, plan.digest()))
-    _, world.zero_ns = await receive(loop, pipe)
+    _, context.start_ns = await receive(loop, pipe)
     disable_garbage_collector()
     boxes.start_schedule()
     await receive(loop, pipe)
     pipe.send(("books", boxes.stop()))
-    await asyncio.sleep(0)  # closed transports end in the loop's next turn
+    await asyncio.sleep(0)  # closed transports are torn down in the loop's next iteration
 
 
 def describe_exception(context: dict[str, Any]) -> str:
-    """What a callback or task of the kit let out, and where."""
+    """Describe an exception that a callback or task of the rehearsal did not handle, with its location."""
     error = context.get("exception")
-    last = traceback.extract_tb(error.__traceback__)[-1:] if error is not None else []
-    where = "".join(f" at {frame.filename}:{frame.lineno}" for frame in last)
+    innermost = traceback.extract_tb(error.__traceback__)[-1:] if error is not None else []
+    where = "".join(f" at {frame.filename}:{frame.lineno}" for frame in innermost)
     return f"{context.get('message')}: {error!r}{where}"
 
 
 async def receive(loop: asyncio.AbstractEventLoop, pipe: Connection) -> tuple[Any, ...]:
-    """The next message of a pipe, without blocking the loop."""
+    """Receive the next message of a pipe, without blocking the loop."""
     ready = asyncio.Event()
     loop.add_reader(pipe.fileno(), ready.set)
     try:
--- a/lanemux/rehearsal/callers.py
+++ b/lanemux/rehearsal/callers.py
@@ -14,7 +14,7 @@
 from lanemux.rehearsal.addresses import Address
 from lanemux.rehearsal.books import CallerBooks, Oddity, Try
 from lanemux.rehearsal.plan import MS, Ask, Plan, idempotency_key
-from lanemux.rehearsal.request_form import digest_of, sent_body, target_of
+from lanemux.rehearsal.request_form import body_digest, request_body, target_path
 
 GRACE_NS = 50 * MS  # an answer may come so much after the deadline that the caller named
 CONNECT_S = 1.0
@@ -158,7 +158,7 @@
         if self.ask.effect == "keyed":
             headers["Idempotency-Key"] = idempotency_key(self._callers.plan.seed, self.ask.number)
         self.entry.deadline_ns = self._callers.now() + remaining_ms * MS
-        line.send(self, framing.request(self.entry.target, headers, sent_body(self.ask)))
+        line.send(self, framing.request(self.entry.target, headers, request_body(self.ask)))
         self.entry.sent_ns = self._callers.now()
 
     def leave(self, half_ns: int = 0) -> None:
@@ -179,7 +179,7 @@
         self.entry.status = message.status
         self.entry.retry_after = message.headers.get("retry-after", "")
         if message.status == 200:
-            self.entry.digest = digest_of(message.body)
+            self.entry.digest = body_digest(message.body)
         self._end("answered")
 
     def broken(self, crossed: bool) -> None:
@@ -274,7 +274,7 @@
         balancer = self._on_open_connection(ask.fronts[number])
         if balancer is None:
             balancer = self.front.pick(self.plan.scenario.fleet.rooms[ask.room], ask.fronts[number])
-        entry = Try(ask.number, number, ask.ids[number], balancer, target_of(ask), deadline_ns=self.now() + given_up)
+        entry = Try(ask.number, number, ask.ids[number], balancer, target_path(ask), deadline_ns=self.now() + given_up)
         self.records.tries.append(entry)
         self.spawn(Attempted(self, ask, entry, given_up, self._after).send())
 
--- a/lanemux/rehearsal/request_form.py
+++ b/lanemux/rehearsal/request_form.py
@@ -1,4 +1,4 @@
-"""The form of requests and answers, as callers and boxes know it: paths, bodies, digests. No I/O."""
+"""The content of requests and responses that callers and boxes agree on: paths, bodies, digests. No I/O."""
 
 from __future__ import annotations
 
@@ -7,35 +7,39 @@
 from lanemux.rehearsal import framing
 from lanemux.rehearsal.plan import Ask, Plan, idempotency_key
 
-FILLER = 600  # bytes of an answer on average
+MEAN_FILLER_BYTES = 600  # of a response body
 
 
-def target_of(ask: Ask) -> str:
-    """The path that an ask's requests have."""
+def target_path(ask: Ask) -> str:
+    """The path of an ask's requests."""
     return f"/{ask.class_name}/{ask.number}"
 
 
-def sent_body(ask: Ask) -> bytes | None:
-    """The body that an ask's requests have; None: they are GETs and have none."""
+def request_body(ask: Ask) -> bytes | None:
+    """The body of an ask's requests; None for a GET, which has none."""
     return None if ask.effect == "safe" else f"{ask.user} {ask.number}".encode()
 
 
-def as_sent(plan: Plan, ask: Ask, message: framing.Message) -> bool:
-    """A box has the request in the form in which a caller sent it."""
-    body = sent_body(ask)
+def matches_ask(plan: Plan, ask: Ask, message: framing.Message) -> bool:
+    """Whether a box received the request as the caller sent it: method, path, body and idempotency key."""
+    body = request_body(ask)
     key = idempotency_key(plan.seed, ask.number) if ask.effect == "keyed" else ""
     return (
-        message.start_line == f"{'GET' if body is None else 'POST'} {target_of(ask)} HTTP/1.1"
+        message.start_line == f"{'GET' if body is None else 'POST'} {target_path(ask)} HTTP/1.1"
         and message.body == (body or b"")
         and message.headers.get("idempotency-key", "") == key
     )
 
 
-def body_of(name: str, host: str, serial: int) -> bytes:
-    """An answer that is like no other: it names its request, its box and its number there."""
-    h = hashlib.blake2b(f"{name}/{host}/{serial}".encode(), digest_size=32).hexdigest()
-    return f"{name} {host} {serial}\n".encode() + (h * (1 + int(h[:4], 16) % (2 * FILLER // 64))).encode()
+def response_body(request_id: str, host: str, count: int) -> bytes:
+    """A unique response body: it holds the request id, the box and the response's number at that box."""
+    filler = hashlib.blake2b(f"{request_id}/{host}/{count}".encode(), digest_size=32).hexdigest()
+    return (
+        f"{request_id} {host} {count}\n".encode()
+        + (filler * (1 + int(filler[:4], 16) % (2 * MEAN_FILLER_BYTES // 64))).encode()
+    )
 
 
-def digest_of(body: bytes) -> str:
+def body_digest(body: bytes) -> str:
+    """The digest of a response body, by which boxes' and callers' records are compared."""
     return hashlib.blake2b(body, digest_size=8).hexdigest()
--- a/tests/rehearsal/test_boxes.py
+++ b/tests/rehearsal/test_boxes.py
@@ -1,4 +1,4 @@
-"""The stand-in boxes on loopback sockets: what a freeze, a drain, a death and a silence look like from outside."""
+"""The simulated boxes on loopback sockets: freeze, drain, crash and isolation as a balancer sees them."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from lanemux.rehearsal.command import find
 from lanemux.rehearsal.loop_timing import PollTimingSelector
 from lanemux.rehearsal.plan import MS, draw
-from lanemux.rehearsal.request_form import target_of
+from lanemux.rehearsal.request_form import target_path
 
 SHORT_S = 0.05
 FREEZE_NS = 150 * MS
 
 
 @dataclasses.dataclass
-class Yard:
+class OpenBox:
     """One open box of a plan without faults."""
 
     context: BoxContext
@@ -34,33 +34,33 @@
     address: Address
 
     def request(self, ask: int = 0) -> bytes:
-        row = self.context.plan.asks[ask]
-        return framing.request(target_of(row), {"Req-Id": row.ids[0]})
+        entry = self.context.plan.asks[ask]
+        return framing.request(target_path(entry), {"Req-Id": entry.ids[0]})
 
 
-def on_boxes(test: Callable[[Yard], Awaitable[None]]) -> None:
+def on_boxes(test: Callable[[OpenBox], Awaitable[None]]) -> None:
     selector = PollTimingSelector()
     loop = asyncio.SelectorEventLoop(selector)
     try:
-        loop.run_until_complete(asyncio.wait_for(_played(test, selector), 20))
+        loop.run_until_complete(asyncio.wait_for(_run_test(test, selector), 20))
     finally:
         loop.close()
 
 
-async def _played(test: Callable[[Yard], Awaitable[None]], looks: PollTimingSelector) -> None:
-    async with yard(looks) as opened:
+async def _run_test(test: Callable[[OpenBox], Awaitable[None]], poll_times: PollTimingSelector) -> None:
+    async with open_box(poll_times) as opened:
         await test(opened)
 
 
 @asynccontextmanager
-async def yard(looks: PollTimingSelector) -> AsyncIterator[Yard]:
+async def open_box(poll_times: PollTimingSelector) -> AsyncIterator[OpenBox]:
     loop = asyncio.get_running_loop()
     plan = draw(dataclasses.replace(find("calm-short"), seconds=1.0), 1)
     plan.asks[0] = dataclasses.replace(plan.asks[0], work_ns=20 * MS)
     context = BoxContext(
         loop,
         plan,
-        looks,
+        poll_times,
         BoxBooks(),
         int(loop.time() * 1e9),
         {name: ask for ask in plan.asks for name in ask.ids},
@@ -70,40 +70,40 @@
     boxes = Boxes(context, addresses)
     boxes.start_initial()
     try:
-        yield Yard(context, boxes.hosts[0], addresses[0][0])
+        yield OpenBox(context, boxes.hosts[0], addresses[0][0])
     finally:
         boxes.stop()
         await asyncio.sleep(0)
 
 
 async def answer(reader: asyncio.StreamReader) -> framing.Message:
-    framer = framing.MessageParser(responses=True)
+    parser = framing.MessageParser(responses=True)
     while True:
         data = await reader.read(65536)
         assert data, "the connection ended"
-        if found := framer.feed(data):
+        if found := parser.feed(data):
             return found[0]
 
 
 def test_no_look_at_a_frozen_box_gets_an_answer_through_old_connections_or_new_ones() -> None:
-    async def test(yard: Yard) -> None:
+    async def test(box: OpenBox) -> None:
         probe = framing.request("/stats", {"Host": "box"})
-        old_reader, old_writer = await asyncio.open_connection(*yard.address)
+        old_reader, old_writer = await asyncio.open_connection(*box.address)
         old_writer.write(probe)
         assert json.loads((await answer(old_reader)).body) == {"inflight": 0, "queue": 0}
-        yard.host.freeze(FREEZE_NS)
-        began = yard.context.now()
+        box.host.freeze(FREEZE_NS)
+        began = box.context.now()
         old_writer.write(probe)
-        new_reader, new_writer = await asyncio.open_connection(*yard.address)  # the kernel takes it, the box does not
-        new_writer.write(yard.request())
+        new_reader, new_writer = await asyncio.open_connection(*box.address)  # the kernel accepts it, the box does not
+        new_writer.write(box.request())
         waits = [asyncio.ensure_future(answer(r)) for r in (old_reader, new_reader)]
         done, _ = await asyncio.wait(waits, timeout=0.1)
-        assert not done and yard.context.now() - began < FREEZE_NS
-        assert yard.context.books.attempts == [] and yard.context.books.probes == 1
+        assert not done and box.context.now() - began < FREEZE_NS
+        assert box.context.records.attempts == [] and box.context.records.probes == 1
         assert (await waits[0]).status == (await waits[1]).status == 200
-        assert yard.context.now() - began >= FREEZE_NS
-        # The books do not claim to know when it was sent: not before the freeze, and by the thaw.
-        (attempt,) = yard.context.books.attempts
+        assert box.context.now() - began >= FREEZE_NS
+        # When it was sent is recorded as a range only: after the start of the freeze, and by its end.
+        (attempt,) = box.context.records.attempts
         assert attempt.first_lo_ns <= began + 5 * MS and attempt.whole_ns >= began + FREEZE_NS
         for writer in (old_writer, new_writer):
             writer.close()
@@ -112,14 +112,14 @@
 
 
 def test_work_in_hand_stands_still_in_a_freeze() -> None:
-    async def test(yard: Yard) -> None:
-        reader, writer = await asyncio.open_connection(*yard.address)
-        writer.write(yard.request())
-        while not yard.context.books.attempts:
+    async def test(box: OpenBox) -> None:
+        reader, writer = await asyncio.open_connection(*box.address)
+        writer.write(box.request())
+        while not box.context.records.attempts:
             await asyncio.sleep(0)
-        yard.host.freeze(FREEZE_NS)
+        box.host.freeze(FREEZE_NS)
         assert (await answer(reader)).status == 200
-        (attempt,) = yard.context.books.attempts
+        (attempt,) = box.context.records.attempts
         assert attempt.end_ns - attempt.whole_ns >= FREEZE_NS + 5 * MS
         writer.close()
 
@@ -127,92 +127,92 @@
 
 
 def test_a_draining_box_turns_away_with_the_mark_and_a_dead_one_resets_and_refuses() -> None:
-    async def test(yard: Yard) -> None:
-        reader, writer = await asyncio.open_connection(*yard.address)
-        yard.host.drain()
-        writer.write(yard.request())
-        turned_away = await answer(reader)
-        assert (turned_away.status, turned_away.headers["srv-declined"]) == (503, "1")
-        yard.host.die()
+    async def test(box: OpenBox) -> None:
+        reader, writer = await asyncio.open_connection(*box.address)
+        box.host.drain()
+        writer.write(box.request())
+        declined = await answer(reader)
+        assert (declined.status, declined.headers["srv-declined"]) == (503, "1")
+        box.host.terminate()
         with pytest.raises(ConnectionResetError):
             await reader.read()
         with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection(*yard.address)
-        yard.host.start(cold=True)
-        _, again = await asyncio.open_connection(*yard.address)
+            await asyncio.open_connection(*box.address)
+        box.host.start(cold=True)
+        _, again = await asyncio.open_connection(*box.address)
         again.close()
-        assert [life.state for life in yard.context.books.lives] == ["draining", "down", "cold"]
+        assert [life.state for life in box.context.records.lives] == ["draining", "down", "cold"]
 
     on_boxes(test)
 
 
 def test_a_box_that_dies_while_it_drains_ends_what_it_held() -> None:
-    async def test(yard: Yard) -> None:
-        reader, writer = await asyncio.open_connection(*yard.address)
-        writer.write(yard.request())
-        while not yard.context.books.attempts:
+    async def test(box: OpenBox) -> None:
+        reader, writer = await asyncio.open_connection(*box.address)
+        writer.write(box.request())
+        while not box.context.records.attempts:
             await asyncio.sleep(0)
-        yard.host.drain()
-        yard.host.die()
+        box.host.drain()
+        box.host.terminate()
         with pytest.raises(ConnectionResetError):
             await reader.read()
-        assert yard.context.books.attempts[0].how == "died"
+        assert box.context.records.attempts[0].how == "died"
         writer.close()
 
     on_boxes(test)
 
 
 def test_a_machine_that_vanished_is_silent_and_new_connections_never_come_up() -> None:
-    async def test(yard: Yard) -> None:
-        reader, writer = await asyncio.open_connection(*yard.address)
-        yard.host.vanish()
-        writer.write(yard.request())
+    async def test(box: OpenBox) -> None:
+        reader, writer = await asyncio.open_connection(*box.address)
+        box.host.isolate()
+        writer.write(box.request())
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(asyncio.open_connection(*yard.address), SHORT_S)
+            await asyncio.wait_for(asyncio.open_connection(*box.address), SHORT_S)
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.shield(asyncio.ensure_future(reader.read(1))), SHORT_S)
-        assert yard.context.books.attempts == []
+        assert box.context.records.attempts == []
         writer.close()
 
     on_boxes(test)
 
 
-def test_what_no_caller_sent_is_turned_away_and_noted() -> None:
-    async def test(yard: Yard) -> None:
+def test_what_no_caller_sent_is_declined_and_noted() -> None:
+    async def test(box: OpenBox) -> None:
         for target, name, status in (
             ("/rate-lookup/0", "0" * 16, 400),
-            ("/other", yard.context.plan.asks[0].ids[0], 400),
+            ("/other", box.context.plan.asks[0].ids[0], 400),
             ("/rate-lookup/0", "", 404),
         ):
-            reader, writer = await asyncio.open_connection(*yard.address)
+            reader, writer = await asyncio.open_connection(*box.address)
             writer.write(framing.request(target, {"Req-Id": name} if name else {}))
             assert (await answer(reader)).status == status
             writer.close()
-        assert [o.rule for o in yard.context.books.oddities] == ["foreign"] * 3
+        assert [o.rule for o in box.context.records.oddities] == ["foreign"] * 3
 
     on_boxes(test)
 
 
 def test_a_second_copy_is_seen_while_the_first_is_open_and_a_closed_one_excuses() -> None:
-    async def test(yard: Yard) -> None:
-        first_reader, first = await asyncio.open_connection(*yard.address)
-        _, second = await asyncio.open_connection(*yard.address)
-        first.write(yard.request())
-        while not yard.context.books.attempts:
+    async def test(box: OpenBox) -> None:
+        first_reader, first = await asyncio.open_connection(*box.address)
+        _, second = await asyncio.open_connection(*box.address)
+        first.write(box.request())
+        while not box.context.records.attempts:
             await asyncio.sleep(0)
-        second.write(yard.request())
+        second.write(box.request())
         assert (await answer(first_reader)).status == 200
-        while len(yard.context.books.attempts) < 2:
+        while len(box.context.records.attempts) < 2:
             await asyncio.sleep(0)
-        one, other = yard.context.books.attempts
-        assert one.open_ns > other.whole_ns  # both were out
-        _, third = await asyncio.open_connection(*yard.address)
+        one, other = box.context.records.attempts
+        assert one.open_ns > other.whole_ns  # both were in flight
+        _, third = await asyncio.open_connection(*box.address)
         second.close()
         await second.wait_closed()
-        third.write(yard.request())
-        while len(yard.context.books.attempts) < 3:
+        third.write(box.request())
+        while len(box.context.records.attempts) < 3:
             await asyncio.sleep(0)
-        assert other.how == "cancelled" and other.open_ns <= yard.context.books.attempts[2].whole_ns
+        assert other.how == "cancelled" and other.open_ns <= box.context.records.attempts[2].whole_ns
         for writer in (first, third):
             writer.close()
 
