--- a/lanemux/rehearsal/balancers.py
+++ b/lanemux/rehearsal/balancers.py
@@ -169,7 +169,7 @@
             self.process.kill()
             return ""  # requests without an answer show in the records
         status = self.process.returncode
-        return f"balancer {self.number} was told to end and did so with status {status}" if status else ""
+        return f"balancer {self.number} exited with status {status} after SIGTERM" if status else ""
 
     async def stop(self) -> str:
         """A graceful shutdown; returns what was wrong with it, or an empty string."""
@@ -181,10 +181,10 @@
         while self.process.poll() is None:
             if asyncio.get_running_loop().time() > end:
                 self.process.kill()
-                return f"balancer {self.number} did not end within {STOP_TIMEOUT_S} s of SIGTERM"
+                return f"balancer {self.number} did not exit within {STOP_TIMEOUT_S} s of SIGTERM"
             await asyncio.sleep(POLL_INTERVAL_S)
         status = self.process.returncode
-        return f"balancer {self.number} ended with status {status}" if status else ""
+        return f"balancer {self.number} exited with status {status} after SIGTERM" if status else ""
 
 
 async def _is_ready(address: Address) -> bool:
--- a/lanemux/rehearsal/flood.py
+++ b/lanemux/rehearsal/flood.py
@@ -1,7 +1,8 @@
-"""Silent connections to one balancer, opened within a second and held: python -m lanemux.rehearsal.flood HOST PORT ...
+"""A connection flood: opens connections to one balancer within 1 s, sends nothing on them and holds them open.
 
-Words: host, port, how many, the first three parts of the sources' addresses, how many sources, seconds. At the end it
-prints what became of them: `asked`, `came_up`, `closed` (by the balancer), `refused`.
+Usage: python -m lanemux.rehearsal.flood HOST PORT COUNT PREFIX SOURCES SECONDS. PREFIX is the first three octets of the
+source addresses, SOURCES their number. At the end it prints the counts as JSON: `asked` (attempted), `came_up`
+(established), `closed` (by the balancer), `refused`.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 import time
 from dataclasses import asdict, dataclass
 
-WITHIN_S = 1.0
-LOOK_S = 0.01
+OPEN_WITHIN_S = 1.0
+POLL_TIMEOUT_S = 0.01
 
 
 @dataclass
-class Told:
-    """What became of the connections."""
+class FloodCounts:
+    """What became of the connections; the field names are those of the output."""
 
     asked: int = 0
     came_up: int = 0
@@ -30,54 +31,55 @@
 
 
 class Flood:
-    """All connections of one flood; no event loop, since each must cost little."""
+    """All connections of one flood. It uses a selector, not asyncio, to keep the cost per connection low."""
 
-    def __init__(self, to: tuple[str, int], prefix: str, sources: int) -> None:
-        self.told = Told()
-        self._to, self._prefix, self._sources = to, prefix, sources
+    def __init__(self, target: tuple[str, int], prefix: str, sources: int) -> None:
+        self.counts = FloodCounts()
+        self._target, self._prefix, self._sources = target, prefix, sources
         self._selector = selectors.DefaultSelector()
 
-    def open(self, most: int) -> None:
-        for _ in range(most):
-            one = socket.socket()
-            one.setblocking(False)
-            one.bind((f"{self._prefix}.{1 + self.told.asked % self._sources}", 0))
+    def open(self, count: int) -> None:
+        """Start this many more connections, spread over the source addresses."""
+        for _ in range(count):
+            sock = socket.socket()
+            sock.setblocking(False)
+            sock.bind((f"{self._prefix}.{1 + self.counts.asked % self._sources}", 0))
             with contextlib.suppress(BlockingIOError):
-                one.connect(self._to)
-            self._selector.register(one, selectors.EVENT_WRITE)
-            self.told.asked += 1
-
-    def look(self, wait_s: float) -> None:
-        """Note who came up, and who was closed."""
-        for key, events in self._selector.select(wait_s):
-            one = key.fileobj
-            assert isinstance(one, socket.socket)
+                sock.connect(self._target)
+            self._selector.register(sock, selectors.EVENT_WRITE)
+            self.counts.asked += 1
+
+    def poll(self, timeout_s: float) -> None:
+        """Count the connections that were established, refused or closed."""
+        for key, events in self._selector.select(timeout_s):
+            sock = key.fileobj
+            assert isinstance(sock, socket.socket)
             if events & selectors.EVENT_WRITE:
-                refused = one.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                self.told.refused += bool(refused)
-                self.told.came_up += not refused
-                self._selector.unregister(one)
-                if refused:
-                    one.close()
+                error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+                self.counts.refused += bool(error)
+                self.counts.came_up += not error
+                self._selector.unregister(sock)
+                if error:
+                    sock.close()
                 else:
-                    self._selector.register(one, selectors.EVENT_READ)
+                    self._selector.register(sock, selectors.EVENT_READ)
             else:
-                self.told.closed += 1
-                self._selector.unregister(one)
-                one.close()
-
-
-def main(words: list[str]) -> None:
-    """Flood, hold, and print what became of it."""
-    host, port, count, prefix, sources, seconds = words
-    hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    flood, began = Flood((host, int(port)), prefix, int(sources)), time.monotonic()
-    while (passed := time.monotonic() - began) < float(seconds):
-        due = int(min(1.0, passed / WITHIN_S) * int(count))
-        flood.open(due - flood.told.asked)
-        flood.look(LOOK_S)
-    print(json.dumps(asdict(flood.told)))
+                self.counts.closed += 1
+                self._selector.unregister(sock)
+                sock.close()
+
+
+def main(arguments: list[str]) -> None:
+    """Open the connections, hold them, and print the counts."""
+    host, port, count, prefix, sources, seconds = arguments
+    hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
+    flood, started_s = Flood((host, int(port)), prefix, int(sources)), time.monotonic()
+    while (elapsed_s := time.monotonic() - started_s) < float(seconds):
+        due = int(min(1.0, elapsed_s / OPEN_WITHIN_S) * int(count))
+        flood.open(due - flood.counts.asked)
+        flood.poll(POLL_TIMEOUT_S)
+    print(json.dumps(asdict(flood.counts)))
 
 
 if __name__ == "__main__":
