--- a/lanemux/rehearsal/framing.py
+++ b/lanemux/rehearsal/framing.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages as the kit reads and writes them (RFC 9112), independent of the balancer's reader. No I/O.
+"""Parses and serializes HTTP/1.1 messages (RFC 9112) for the rehearsal, independently of the balancer's parser. No I/O.
 
-Kept to what boxes, discovery and callers need: whole messages with Content-Length or, for answers, chunked
-coding or an end by close. What goes beyond is `Unreadable`.
+Supports what boxes, discovery and callers need: complete messages with Content-Length or, for responses, chunked
+transfer coding or a body that ends with the connection. Anything else raises `Unreadable`.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MAX_HEAD = 32 * 1024  # bytes: twice what the balancer itself allows
-MAX_BODY = 4 * 1024 * 1024  # bytes: stand-ins send some KiB
+MAX_HEAD = 32 * 1024  # bytes: twice the balancer's own limit
+MAX_BODY = 4 * 1024 * 1024  # bytes: the bodies of a rehearsal have a few KiB
 
 
 class Unreadable(Exception):
-    """The bytes are no message."""
+    """The bytes are not a message that this module supports."""
 
 
 @dataclass(slots=True)
 class Message:
-    """A request or an answer; header names in lower case, the last of several counts."""
+    """A request or a response. Header names are in lower case; of a repeated header, the last value counts."""
 
     start_line: str
     headers: dict[str, str]
@@ -27,44 +27,44 @@
 
     @property
     def status(self) -> int:
-        """An answer's status code."""
-        word = self.start_line.split(" ", 2)[1:2]
-        if not word or not (word[0].isascii() and word[0].isdigit() and len(word[0]) == 3):
+        """A response's status code; raises Unreadable if there is none."""
+        code = self.start_line.split(" ", 2)[1:2]
+        if not code or not (code[0].isascii() and code[0].isdigit() and len(code[0]) == 3):
             raise Unreadable(f"no status: {self.start_line[:80]!r}")
-        return int(word[0])
+        return int(code[0])
 
     @property
     def keep_alive(self) -> bool:
-        """The connection may carry another message."""
+        """Whether the connection may carry another message."""
         return self.headers.get("connection", "").lower() != "close" and not self.start_line.startswith("HTTP/1.0")
 
 
 class MessageParser:
-    """Cuts a connection's bytes into messages. `responses`: they come from a server, and may be chunked."""
+    """Splits a connection's bytes into messages. `responses`: they come from a server, and may be chunked."""
 
     def __init__(self, responses: bool = False) -> None:
-        self._answers = responses
+        self._responses = responses
         self._data = bytearray()
         self._head: Message | None = None
 
     @property
     def has_partial(self) -> bool:
-        """Bytes of a message that is not whole yet are here."""
+        """Whether the beginning of an incomplete message was received."""
         return bool(self._data) or self._head is not None
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are now whole; raises Unreadable."""
+        """Add received bytes; returns the messages that are now complete. Raises Unreadable."""
         self._data += data
-        found = []
+        complete = []
         while (message := self._next()) is not None:
-            if not (self._answers and message.start_line.split(" ")[1:2] and 100 <= message.status < 200):
-                found.append(message)  # 1xx only announces the answer
-        return found
+            if not (self._responses and message.start_line.split(" ")[1:2] and 100 <= message.status < 200):
+                complete.append(message)  # 1xx is an interim response
+        return complete
 
     def finish(self) -> Message | None:
-        """The connection ended: an answer without a length is whole now."""
+        """The connection ended, which completes a response without a length; returns it, or None."""
         head = self._head
-        if head is None or not self._answers or "content-length" in head.headers or _chunked(head):
+        if head is None or not self._responses or "content-length" in head.headers or _chunked(head):
             return None
         head.body, self._head = bytes(self._data), None
         self._data.clear()
@@ -80,30 +80,30 @@
             self._head = _read_head(bytes(self._data[:end]))
             del self._data[: end + 4]
         head = self._head
-        body = self._chunks() if _chunked(head) else self._counted(head)
+        body = self._chunked_body() if _chunked(head) else self._sized_body(head)
         if body is None:
             return None
         head.body, self._head = body, None
         return head
 
-    def _counted(self, head: Message) -> bytes | None:
-        text = head.headers.get("content-length", "")
-        bodiless = not self._answers or head.status in (204, 304) or 100 <= head.status < 200
-        if not text and bodiless:
+    def _sized_body(self, head: Message) -> bytes | None:
+        length = head.headers.get("content-length", "")
+        bodiless = not self._responses or head.status in (204, 304) or 100 <= head.status < 200
+        if not length and bodiless:
             return b""
-        if not text:
-            return None  # until the connection ends
-        if not (text.isascii() and text.isdigit()) or int(text) > MAX_BODY:
-            raise Unreadable(f"content-length {text[:40]!r}")
-        size = int(text)
+        if not length:
+            return None  # the body ends with the connection
+        if not (length.isascii() and length.isdigit()) or int(length) > MAX_BODY:
+            raise Unreadable(f"content-length {length[:40]!r}")
+        size = int(length)
         if len(self._data) < size:
             return None
         body = bytes(self._data[:size])
         del self._data[:size]
         return body
 
-    def _chunks(self) -> bytes | None:
-        if not self._answers:
+    def _chunked_body(self) -> bytes | None:
+        if not self._responses:
             raise Unreadable("a chunked request")
         body, at = bytearray(), 0
         while True:
@@ -147,7 +147,7 @@
 
 
 def request(target: str, headers: Mapping[str, str], body: bytes | None = None) -> bytes:
-    """A GET, or a POST where there is a body, be it empty."""
+    """Serialize a request: a GET without a body, a POST with one, even if it is empty."""
     first = f"{'GET' if body is None else 'POST'} {target} HTTP/1.1"
     length = [] if body is None else [f"Content-Length: {len(body)}"]
     lines = [first, *(f"{k}: {v}" for k, v in headers.items()), *length, "", ""]
@@ -155,7 +155,7 @@
 
 
 def response(status: int, body: bytes = b"", headers: Mapping[str, str] | None = None) -> bytes:
-    """An answer with its length."""
+    """Serialize a response with Content-Length."""
     lines = [
         f"HTTP/1.1 {status} {'OK' if status == 200 else 'Answer'}",
         *(f"{k}: {v}" for k, v in (headers or {}).items()),
