--- a/lanemux/rehearsal/etcd/__init__.py
+++ b/lanemux/rehearsal/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in etcd: what the v3 API promises of ranges, watches, leases and compaction, and faults on demand."""
+"""A fake etcd: ranges, watches, leases and compaction as the v3 API specifies them, with faults on demand."""
--- a/lanemux/rehearsal/etcd/agent.py
+++ b/lanemux/rehearsal/etcd/agent.py
@@ -1,7 +1,7 @@
-"""etcd in place of platform discovery: a member for each balancer, over one store, a prefix each.
+"""etcd in place of the platform's discovery: one fake member per balancer, over a shared store.
 
-Each balancer has a prefix of its own, since a box has another address for each. When a row was written to a balancer's
-connection is booked as the agent of platform discovery books it.
+Each balancer has its own prefix, because a box has a different address for each balancer. The time at which a row was
+written to a balancer's connection is recorded as by the agent of the platform's discovery.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 from lanemux.rehearsal.etcd.store import Change, Store
 from lanemux.rehearsal.plan import MS, Box, Happening, Notice
 
-TOLD_AT_LATEST_NS = 6_000_000_000  # as with platform discovery: a stall must be found out before
+MAX_NOTICE_DELAY_NS = 6_000_000_000  # as with the platform's discovery: a stall must be detected before this
 
 
 class EtcdAgent:
-    """The member that one balancer follows."""
+    """The source of one balancer's upstream list: a fake etcd member of its own."""
 
     def __init__(
         self,
         balancer: int,
         now: Callable[[], int],
-        wall_zero_ms: int,
-        book: list[Told],
+        wall_start_ms: int,
+        records: list[Told],
         store: Store,
         listen: Listen = socket.create_server,
     ) -> None:
-        self.balancer, self._now, self._book, self._wall_zero_ms = balancer, now, book, wall_zero_ms
+        self.balancer, self._now, self._records, self._wall_start_ms = balancer, now, records, wall_start_ms
         self.prefix = f"/rehearsal/{balancer}/"
         self._store = store
-        self._open: dict[str, list[tuple[int, Told]]] = {}  # host -> (revision, row) not written yet
+        self._pending: dict[str, list[tuple[int, Told]]] = {}  # host -> (revision, record) not written yet
         self._rows: dict[str, dict[str, object]] = {}
         self._member = FakeMember(store, listen=listen)
-        self._member.on_written = self._wrote
+        self._member.on_written = self._record_written
         self._tasks: dict[asyncio.Task[None], None] = {}
 
     async def open(self, host: str) -> Address:
@@ -51,13 +51,13 @@
         await self._member.stop()
 
     def operators_toml(self) -> str:
-        """What the balancer's operators' file says."""
+        """The part of the operators' file that makes the balancer follow this member."""
         host, port = self._member.address
         return f'[etcd]\nendpoints = ["{host}:{port}"]\nprefix = "{self.prefix}"\n'
 
     def publish(self, box: Box, dial: Address, notice: Notice, first: bool = False) -> None:
-        """The store has news; those who watch hear it at once."""
-        born_ms = 0 if not notice.born_ns else self._wall_zero_ms + notice.born_ns // MS
+        """Publish a change of a box in the store; watches are notified immediately."""
+        born_ms = 0 if not notice.born_ns else self._wall_start_ms + notice.born_ns // MS
         row: dict[str, object] = {
             "dial": f"{dial[0]}:{dial[1]}",
             "site": box.room,
@@ -67,26 +67,26 @@
             "share": 1.0,
             "born_ms": born_ms,
         }
-        gone = notice.health == "removed"
+        removed = notice.health == "removed"
         self._rows.pop(box.host, None)
-        if not gone:
+        if not removed:
             self._rows[box.host] = row
-        told = Told(self.balancer, notice.box, notice.health, 0, 0 if first else self._now() + TOLD_AT_LATEST_NS)
+        told = Told(self.balancer, notice.box, notice.health, 0, 0 if first else self._now() + MAX_NOTICE_DELAY_NS)
         if first:
-            told.written_ns = -1  # it stands in the balancer's configuration
-        self._book.append(told)
-        value = None if gone else json.dumps(row).encode()
+            told.written_ns = -1  # already in the balancer's configuration
+        self._records.append(told)
+        value = None if removed else json.dumps(row).encode()
         revision = self._store.write([(f"{self.prefix}{box.host}".encode(), value)])
         if not first:
-            self._open.setdefault(box.host, []).append((revision, told))
+            self._pending.setdefault(box.host, []).append((revision, told))
         self._member.notify_watchers()
 
     def snapshot(self) -> dict[str, object]:
-        """The whole list in discovery's form, for the configuration."""
+        """The complete list in the JSON form of the discovery API, for the configuration."""
         return {"seq": 1, "whole": True, "hosts": [{"host": host, **row} for host, row in self._rows.items()]}
 
     def inject_fault(self, happening: Happening) -> None:
-        """Something goes wrong with this member."""
+        """Apply a fault of the plan to this member."""
         match happening.what:
             case "drop":
                 self._member.drop()
@@ -97,8 +97,8 @@
             case "compact":
                 self._spawn(self._compact())
 
-    def _spawn(self, work: object) -> None:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
+    def _spawn(self, coroutine: object) -> None:
+        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)  # type: ignore[arg-type]
         self._tasks[task] = None
         task.add_done_callback(lambda task: self._tasks.pop(task, None))
 
@@ -114,7 +114,7 @@
         self._member.notify_watchers()
 
     async def _compact(self) -> None:
-        """History goes while the watch is away."""
+        """Compact the store while the watch is down."""
         self._member.faults.refuse_watches = "etcdserver: no leader"
         self._member.drop()
         await asyncio.sleep(0.3)
@@ -122,16 +122,16 @@
             self._store.compact(self._store.revision)
         self._member.faults.refuse_watches = ""
 
-    def _wrote(self, changes: Sequence[Change], revision: int) -> None:
-        """Rows have been written to the balancer: these changes, or all up to a revision."""
-        at = self._now()
-        hosts = [c.key.decode().removeprefix(self.prefix) for c in changes] or list(self._open)
-        latest = {c.key.decode().removeprefix(self.prefix): c.revision for c in changes}
+    def _record_written(self, changes: Sequence[Change], revision: int) -> None:
+        """Record what was written to the balancer: these changes or, if there are none, all up to a revision."""
+        now_ns = self._now()
+        hosts = [c.key.decode().removeprefix(self.prefix) for c in changes] or list(self._pending)
+        written_revisions = {c.key.decode().removeprefix(self.prefix): c.revision for c in changes}
         for host in hosts:
-            kept = []
-            for made, told in self._open.get(host, ()):
-                if made <= latest.get(host, revision):
-                    told.written_ns = told.written_ns or at
+            remaining = []
+            for row_revision, told in self._pending.get(host, ()):
+                if row_revision <= written_revisions.get(host, revision):
+                    told.written_ns = told.written_ns or now_ns
                 else:
-                    kept.append((made, told))
-            self._open[host] = kept
+                    remaining.append((row_revision, told))
+            self._pending[host] = remaining
--- a/lanemux/rehearsal/etcd/faulty_proxy.py
+++ b/lanemux/rehearsal/etcd/faulty_proxy.py
@@ -1,4 +1,4 @@
-"""A relay that hurts: it stands between a client and a server on loopback, and passes bytes on badly."""
+"""A TCP proxy between a client and a server on loopback that injects faults: splits, stalls and resets."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 import contextlib
 import random
 
-READ = 64 * 1024  # bytes at once
+READ_BYTES = 64 * 1024
 
 
 class FaultyProxy:
-    """Passes on what comes to `address`; its fields may change at any time."""
+    """Forwards connections at `address` to `to`; its fields may be changed at any time."""
 
     def __init__(self, to: tuple[str, int], seed: int = 1) -> None:
         self.to = to
         self.address = ("", 0)
-        self.max_chunk = 0  # bytes passed on to the client at once, drawn from 1 to this; 0: all
-        self.reset_after_bytes = -1  # bytes to the client after which each connection is reset; -1: never
+        self.max_chunk = 0  # writes to the client have a random size from 1 to this many bytes; 0: unlimited
+        self.reset_after_bytes = -1  # each connection is reset after this many bytes to the client; -1: never
         self.connections_opened = 0
         self._rng = random.Random(seed)
-        self._free = asyncio.Event()
-        self._free.set()
+        self._forwarding = asyncio.Event()
+        self._forwarding.set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
@@ -31,11 +31,11 @@
         return self
 
     def hold(self, held: bool) -> None:
-        """Half open: neither side learns that nothing goes through any more."""
-        (self._free.clear if held else self._free.set)()
+        """Stop or resume forwarding, with the connections open: neither side notices that nothing gets through."""
+        (self._forwarding.clear if held else self._forwarding.set)()
 
     def reset(self) -> None:
-        """Break every connection in hand."""
+        """Reset all open connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -50,40 +50,40 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections_opened += 1
         try:
-            there_reader, there_writer = await asyncio.open_connection(*self.to)
+            server_reader, server_writer = await asyncio.open_connection(*self.to)
         except OSError:
             writer.transport.abort()
             return
-        ways = [
-            asyncio.create_task(self._pass_on(reader, there_writer, False)),
-            asyncio.create_task(self._pass_on(there_reader, writer, True)),
+        directions = [
+            asyncio.create_task(self._forward(reader, server_writer, False)),
+            asyncio.create_task(self._forward(server_reader, writer, True)),
         ]
-        ends = {writer, there_writer}
-        self._writers |= ends
-        self._tasks.update(ways)
+        writers = {writer, server_writer}
+        self._writers |= writers
+        self._tasks.update(directions)
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
-            for end in ends:
-                end.transport.abort()
-            self._tasks.difference_update(ways)
-            self._writers -= ends
+            for task in directions:
+                task.cancel()
+            for each in writers:
+                each.transport.abort()
+            self._tasks.difference_update(directions)
+            self._writers -= writers
 
-    async def _pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to_client: bool) -> None:
-        passed = 0
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to_client: bool) -> None:
+        forwarded = 0
         with contextlib.suppress(OSError):
-            while data := await reader.read(READ):
-                await self._free.wait()
+            while data := await reader.read(READ_BYTES):
+                await self._forwarding.wait()
                 while data:
                     size = self._rng.randint(1, self.max_chunk) if to_client and self.max_chunk else len(data)
                     if to_client and self.reset_after_bytes >= 0:
-                        size = min(size, self.reset_after_bytes - passed)
+                        size = min(size, self.reset_after_bytes - forwarded)
                         if size <= 0:
                             return
                     writer.write(data[:size])
                     await writer.drain()
-                    passed, data = passed + size, data[size:]
+                    forwarded, data = forwarded + size, data[size:]
                     if to_client and self.max_chunk:
                         await asyncio.sleep(0)
--- a/lanemux/rehearsal/etcd/server.py
+++ b/lanemux/rehearsal/etcd/server.py
@@ -1,4 +1,4 @@
-"""The stand-in's gRPC side: ranges, watches and authentication over a store, and faults on demand."""
+"""The gRPC server of the fake etcd: ranges, watches and authentication over a store, with faults on demand."""
 
 from __future__ import annotations
 
@@ -16,15 +16,14 @@
 from lanemux.rehearsal.etcd import wire
 from lanemux.rehearsal.etcd.store import Change, Compacted, FutureRevision, Store
 
-MAX_WATCHERS = 100
-ENDLESS_PAGE = 64  # keys of a page of a list without end
-
+MAX_WATCHES = 100
+ENDLESS_PAGE = 64  # keys per page of an endless list
 
 Listen = Callable[[tuple[str, int]], socket.socket]
 
 
-class Raw(CodecBase):  # type: ignore[misc]
-    """Messages stay bytes."""
+class RawCodec(CodecBase):  # type: ignore[misc]
+    """Passes messages as bytes; `wire` encodes and decodes them."""
 
     __content_subtype__ = "proto"
 
@@ -37,58 +36,57 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong, while it is set."""
+    """The faults of a member; each is active while its field is set."""
 
-    refuse_lists: str = ""  # lists end with this text as UNAVAILABLE
+    refuse_lists: str = ""  # lists fail with UNAVAILABLE and this message
     refuse_watches: str = ""  # watches are cancelled with this reason
-    silent: bool = False  # watches stay open and say nothing
-    lag_revisions: int = 0  # so many revisions that this member lags; its watches stand still
-    endless_list: bool = False  # a list goes on for ever
-    max_fragment_events: int = 0  # events of one response at most, where the watcher takes fragments; 0: all
-    padding_bytes: int = 0  # bytes of padding in a watch response
-    expire_token: bool = False  # the next call with a token is told that it's invalid
+    silent: bool = False  # watches stay open and send nothing
+    lag_revisions: int = 0  # how many revisions this member is behind; its watches send nothing
+    endless_list: bool = False  # every page of a list announces another one
+    max_fragment_events: int = 0  # per response, if the watch allows fragments; 0: unlimited
+    padding_bytes: int = 0  # in each watch response
+    expire_token: bool = False  # the next call with a token is rejected as invalid
 
 
-class Watcher:
-    """One watch of a stream."""
+class Watch:
+    """One watch of a watch stream."""
 
-    def __init__(self, number: int, begin: bytes, end: bytes, next_revision: int, fragments: bool) -> None:
+    def __init__(self, number: int, begin: bytes, end: bytes, next_revision: int, allows_fragments: bool) -> None:
         self.number, self.begin, self.end = number, begin, end
-        self.next = next_revision
-        self.fragments = fragments
+        self.next_revision = next_revision
+        self.allows_fragments = allows_fragments
 
 
 class FakeMember:
-    """One member of a stand-in cluster. Several may share a store."""
+    """One member of a fake etcd cluster. Several members may share a store."""
 
     def __init__(self, store: Store, user: str = "", password: str = "", listen: Listen = socket.create_server) -> None:
         self.store = store
         self._listen = listen
         self.faults = Faults()
-        self.lists = self.watches = self.logins = 0  # calls that came
-        self.watch_start_revisions: list[int] = []  # the revision that each watch asked to begin with
+        self.lists = self.watches = self.logins = 0  # number of calls received
+        self.watch_start_revisions: list[int] = []  # the start revision of each watch request
         self.address = ("", 0)
-        self.on_written: Callable[[Sequence[Change], int], None] = lambda changes, revision: (
-            None
-        )  # see `_range`, `_send`
+        # Called when changes, or (without any) all keys up to a revision, were sent: see `_send_changes`, `_range`.
+        self.on_written: Callable[[Sequence[Change], int], None] = lambda changes, revision: None
         self._user, self._password = user, password
-        self._token = 0  # the last one given
+        self._token = 0  # number of the last token issued
         self._server: Server | None = None
         self._connections: set[asyncio.Transport] = set()
-        self._news = asyncio.Event()
+        self._store_changed = asyncio.Event()
         self._handlers: dict[asyncio.Task[Any], None] = {}
 
-    # -- life --
+    # -- start and stop --
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> FakeMember:
         listener = self._listen((host, port))
         self.address = listener.getsockname()
-        self._server = Server([self], codec=Raw())
+        self._server = Server([self], codec=RawCodec())
         await self._server.start(sock=listener)
         return self
 
     async def stop(self) -> None:
-        """End as a killed process does: connections break, and nobody listens."""
+        """Stop like a killed process: connections break and nothing listens any more."""
         if self._server is not None:
             self._server.close()
             self.drop()
@@ -96,14 +94,14 @@
             self._server = None
 
     def drop(self) -> None:
-        """Break every watch in hand, as a member that restarts does."""
+        """Break all watch streams, as a restarting member does."""
         for task in list(self._handlers):
             task.cancel()
 
     def notify_watchers(self) -> None:
-        """The store has changed: watchers are told in the loop's next turn."""
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        """Wake the watches after a change of the store; they send in the loop's next iteration."""
+        changed, self._store_changed = self._store_changed, asyncio.Event()
+        changed.set()
 
     def __mapping__(self) -> dict[str, Handler]:
         unary = Cardinality.UNARY_UNARY
@@ -123,7 +121,7 @@
         return wire.message(1, wire.field(1, self.store.cluster) + wire.field(2, 1) + wire.field(3, self._revision))
 
     def _check(self, stream: Any) -> None:
-        """The token of a call, where the store wants one."""
+        """Check the token of a call, if authentication is on; raises UNAUTHENTICATED."""
         if not self._user:
             return
         token = dict(stream.metadata).get("token")
@@ -134,35 +132,38 @@
 
     async def _authenticate(self, stream: Any) -> None:
         self.logins += 1
-        asked = wire.parse(await stream.recv_message())
-        if (wire.octets(asked, 1).decode(), wire.octets(asked, 2).decode()) != (self._user, self._password):
+        request = wire.parse(await stream.recv_message())
+        if (wire.bytes_field(request, 1).decode(), wire.bytes_field(request, 2).decode()) != (
+            self._user,
+            self._password,
+        ):
             raise GRPCError(Status.INVALID_ARGUMENT, "etcdserver: authentication failed, invalid user ID or password")
         self._token += 1
         await stream.send_message(self._header() + wire.field(2, f"t{self._token}"))
 
     async def _range(self, stream: Any) -> None:
         self.lists += 1
-        asked = wire.parse(await stream.recv_message())
+        request = wire.parse(await stream.recv_message())
         self._check(stream)
         if self.faults.refuse_lists:
             raise GRPCError(Status.UNAVAILABLE, self.faults.refuse_lists)
-        begin, end, limit = wire.octets(asked, 1), wire.octets(asked, 2), wire.whole(asked, 3)
+        begin, end, limit = wire.bytes_field(request, 1), wire.bytes_field(request, 2), wire.int_field(request, 3)
         if self.faults.endless_list:
             rows = [Change(begin + b"%03d" % i, b"{}", 1, 1) for i in range(ENDLESS_PAGE)]
             await stream.send_message(self._header() + _kvs(2, rows) + wire.field(3, 1))
             return
         try:
-            rows = self.store.rows(begin, end, wire.whole(asked, 4), limit)
+            rows = self.store.rows(begin, end, wire.int_field(request, 4), limit)
         except Compacted:
             raise GRPCError(Status.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted") from None
         except FutureRevision:
             raise GRPCError(Status.OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision") from None
         more = bool(limit) and len(rows) > limit
-        # A linearizable list is never lag_revisions: the member first catches up.
+        # A linearizable list is never stale: the member catches up first.
         header = wire.message(1, wire.field(1, self.store.cluster) + wire.field(3, self.store.revision))
         await stream.send_message(header + _kvs(2, rows[:limit] if more else rows) + wire.field(3, int(more)))
         if not more:
-            self.on_written((), self.store.revision)  # all up to that revision, deletions too
+            self.on_written((), self.store.revision)  # everything up to that revision, including deletions
 
     async def _watch(self, stream: Any) -> None:
         self.watches += 1
@@ -170,68 +171,73 @@
         task = asyncio.current_task()
         assert task is not None
         self._handlers[task] = None
-        watchers: list[Watcher] = []
-        sending = asyncio.create_task(self._send_on(stream, watchers))
+        watches: list[Watch] = []
+        sending = asyncio.create_task(self._send_while_open(stream, watches))
         try:
             while (data := await stream.recv_message()) is not None:
-                await self._asked(stream, wire.parse(data), watchers)
+                await self._handle_watch_request(stream, wire.parse(data), watches)
         finally:
             self._handlers.pop(task, None)
             sending.cancel()
 
-    async def _asked(self, stream: Any, asked: dict[int, int | bytes], watchers: list[Watcher]) -> None:
-        if 1 in asked:
-            create = wire.parse(wire.octets(asked, 1))
-            watcher = Watcher(
-                len(watchers),
-                wire.octets(create, 1),
-                wire.octets(create, 2),
-                wire.whole(create, 3) or self.store.revision + 1,
-                bool(wire.whole(create, 8)),
+    async def _handle_watch_request(self, stream: Any, request: dict[int, int | bytes], watches: list[Watch]) -> None:
+        if 1 in request:
+            create = wire.parse(wire.bytes_field(request, 1))
+            watch = Watch(
+                len(watches),
+                wire.bytes_field(create, 1),
+                wire.bytes_field(create, 2),
+                wire.int_field(create, 3) or self.store.revision + 1,
+                bool(wire.int_field(create, 8)),
             )
-            self.watch_start_revisions.append(watcher.next)
-            if len(watchers) >= MAX_WATCHERS:
+            self.watch_start_revisions.append(watch.next_revision)
+            if len(watches) >= MAX_WATCHES:
                 raise GRPCError(Status.RESOURCE_EXHAUSTED, "too many watchers")
-            head = self._header() + wire.field(2, watcher.number)
+            head = self._header() + wire.field(2, watch.number)
             await stream.send_message(head + wire.field(3, 1))
             if self.faults.refuse_watches:
                 await stream.send_message(head + wire.field(4, 1) + wire.field(6, self.faults.refuse_watches))
             else:
-                watchers.append(watcher)
+                watches.append(watch)
                 self.notify_watchers()
-        elif 3 in asked and not self.faults.silent:
+        elif 3 in request and not self.faults.silent:
             await stream.send_message(self._header() + wire.field(2, -1))
 
-    async def _send_on(self, stream: Any, watchers: list[Watcher]) -> None:
-        """Tell each watcher what is new, for as long as the stream lasts."""
+    async def _send_while_open(self, stream: Any, watches: list[Watch]) -> None:
+        """Send new changes on each watch for as long as the stream is open."""
         while True:
-            news = self._news
+            changed = self._store_changed
             if not (self.faults.silent or self.faults.lag_revisions):
-                for watcher in list(watchers):
-                    await self._send(stream, watcher, watchers)
-            await news.wait()
+                for watch in list(watches):
+                    await self._send_changes(stream, watch, watches)
+            await changed.wait()
 
-    async def _send(self, stream: Any, watcher: Watcher, watchers: list[Watcher]) -> None:
-        head = self._header() + wire.field(2, watcher.number)
+    async def _send_changes(self, stream: Any, watch: Watch, watches: list[Watch]) -> None:
+        head = self._header() + wire.field(2, watch.number)
         try:
-            changes = self.store.since(watcher.next, watcher.begin, watcher.end)
+            changes = self.store.since(watch.next_revision, watch.begin, watch.end)
         except Compacted as error:
-            watchers.remove(watcher)
+            watches.remove(watch)
             await stream.send_message(head + wire.field(4, 1) + wire.field(5, error.args[0]))
             return
-        watcher.next = max(watcher.next, self.store.revision + 1)
+        watch.next_revision = max(watch.next_revision, self.store.revision + 1)
         if not changes:
             return
-        most = (
-            self.faults.max_fragment_events if watcher.fragments and self.faults.max_fragment_events else len(changes)
+        max_events = (
+            self.faults.max_fragment_events
+            if watch.allows_fragments and self.faults.max_fragment_events
+            else len(changes)
         )
-        for start in range(0, len(changes), most):
-            part = changes[start : start + most]
-            last = start + most >= len(changes)
+        for start in range(0, len(changes), max_events):
+            fragment = changes[start : start + max_events]
+            last = start + max_events >= len(changes)
             await stream.send_message(
-                head + wire.field(7, int(not last)) + _events(part) + wire.field(99, b"x" * self.faults.padding_bytes)
+                head
+                + wire.field(7, int(not last))
+                + _events(fragment)
+                + wire.field(99, b"x" * self.faults.padding_bytes)
             )
-            self.on_written(part, 0)
+            self.on_written(fragment, 0)
 
 
 def _kv(change: Change) -> bytes:
--- a/lanemux/rehearsal/etcd/store.py
+++ b/lanemux/rehearsal/etcd/store.py
@@ -1,4 +1,4 @@
-"""A store of keys with revisions, leases and compaction, as etcd's public documentation describes it. No I/O."""
+"""A key-value store with revisions, leases and compaction, as etcd's public documentation describes it. No I/O."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Compacted(Exception):
-    """The revision asked for is no more; `args[0]` is the one from which history is kept."""
+    """The requested revision was compacted; `args[0]` is the oldest revision that is kept."""
 
 
 class FutureRevision(Exception):
-    """The revision asked for is yet to come."""
+    """The requested revision does not exist yet."""
 
 
 class Change(NamedTuple):
-    """A key as one revision made it."""
+    """A change of one key in one revision."""
 
     key: bytes
     value: bytes | None  # None: deleted
@@ -29,29 +29,29 @@
 
 @dataclass(slots=True)
 class Lease:
-    """Keys that go when it runs out."""
+    """A lease; its keys are deleted when it expires."""
 
-    ends_ns: int
+    expires_ns: int
     keys: set[bytes] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class Backup:
-    """A backup."""
+    """The content of a store at one revision."""
 
     revision: int
     rows: list[Change]
 
 
 class Store:
-    """One cluster's state. Every write is one revision, however many keys it writes."""
+    """The state of one cluster. Every write is one revision, however many keys it changes."""
 
     def __init__(self, cluster: int = 7) -> None:
         self.cluster = cluster
         self.revision = FIRST_REVISION
-        self.compacted = 0  # history up to and with it is gone
+        self.compacted = 0  # the history up to and including it is deleted
         self._log: list[Change] = []  # by revision
-        self._keys: list[bytes] = []  # all that were ever written since the last compaction, in order
+        self._keys: list[bytes] = []  # all keys written since the last compaction or alive at it, sorted
         self._versions: dict[bytes, list[Change]] = {}
         self._leases: dict[int, Lease] = {}
         self._leased: dict[bytes, int] = {}
@@ -59,7 +59,7 @@
     # -- writes --
 
     def write(self, changes: Iterable[tuple[bytes, bytes | None]], lease: int = 0) -> int:
-        """Set or delete (None) keys in one revision; gives it. Deleting what is not there changes nothing."""
+        """Set or delete (None) keys in one revision, and return it. Deleting a missing key changes nothing."""
         made = []
         for key, value in dict(changes).items():
             last = self._last(key)
@@ -70,25 +70,25 @@
         if made:
             self.revision += 1
             for change in made:
-                self._take(change)
-                self._lease(change, lease)
+                self._apply(change)
+                self._attach_lease(change, lease)
         return self.revision
 
-    def grant(self, lease: int, ends_ns: int) -> None:
-        """A lease, or a longer time for it."""
-        self._leases.setdefault(lease, Lease(ends_ns)).ends_ns = ends_ns
+    def grant(self, lease: int, expires_ns: int) -> None:
+        """Create a lease, or extend it."""
+        self._leases.setdefault(lease, Lease(expires_ns)).expires_ns = expires_ns
 
     def expire(self, now_ns: int) -> None:
-        """Leases that have run out take their keys with them, each lease in one revision."""
-        for number in [n for n, lease in self._leases.items() if lease.ends_ns <= now_ns]:
+        """Delete the keys of expired leases, each lease in one revision."""
+        for number in [n for n, lease in self._leases.items() if lease.expires_ns <= now_ns]:
             self.write([(key, None) for key in sorted(self._leases.pop(number).keys)])
 
     def compact(self, revision: int) -> None:
-        """Forget history up to and with a revision; what stands then stays."""
+        """Delete the history up to and including a revision; the keys that exist at it remain."""
         if not self.compacted < revision <= self.revision:
             raise Compacted(self.compacted) if revision <= self.compacted else FutureRevision(revision)
         self.compacted = revision
-        # Of the revision itself, deletions are lost too: up to etcd 3.4.31 and 3.5.12 a watch from it misses them.
+        # Deletions of the revision itself are lost too: up to etcd 3.4.31 and 3.5.12, a watch from it misses them.
         self._log = [
             c
             for c in self._log[bisect_left(self._log, revision, key=_revision) :]
@@ -106,22 +106,23 @@
                 del self._keys[bisect_left(self._keys, key)]
 
     def backup(self) -> Backup:
+        """The current keys, to restore with `from_backup`."""
         return Backup(self.revision, self.rows())
 
     @classmethod
-    def from_backup(cls, saved: Backup, cluster: int) -> Store:
-        """What was saved; a restored cluster has another id, unless it is told to keep its own."""
+    def from_backup(cls, backup: Backup, cluster: int) -> Store:
+        """Restore a backup. etcd gives a restored cluster a new id, unless it is told to keep the old one."""
         store = cls(cluster)
-        store.revision = store.compacted = saved.revision
-        for row in saved.rows:
-            store._take(row)
+        store.revision = store.compacted = backup.revision
+        for row in backup.rows:
+            store._apply(row)
         store._log.clear()
         return store
 
     # -- reads --
 
     def rows(self, begin: bytes = b"", end: bytes = b"\xff" * 8, revision: int = 0, limit: int = 0) -> list[Change]:
-        """The keys in [begin, end) as of a revision (0: the newest), one more than `limit` to show that there are."""
+        """The keys in [begin, end) as of a revision (0: the newest); `limit` + 1 of them if there are more."""
         if revision > self.revision:
             raise FutureRevision(revision)
         if 0 < revision < self.compacted:
@@ -137,25 +138,25 @@
         return found
 
     def since(self, revision: int, begin: bytes, end: bytes) -> Sequence[Change]:
-        """The changes in [begin, end) from a revision on, in their order."""
+        """The changes in [begin, end) from a revision on, in order."""
         if revision < self.compacted:
             raise Compacted(self.compacted)
         return [c for c in self._log[bisect_left(self._log, revision, key=_revision) :] if begin <= c.key < end]
 
-    # -- within --
+    # -- internals --
 
     def _last(self, key: bytes) -> Change | None:
         versions = self._versions.get(key)
         return versions[-1] if versions and versions[-1].value is not None else None
 
-    def _take(self, change: Change) -> None:
+    def _apply(self, change: Change) -> None:
         if change.key not in self._versions:
             insort(self._keys, change.key)
             self._versions[change.key] = []
         self._versions[change.key].append(change)
         self._log.append(change)
 
-    def _lease(self, change: Change, lease: int) -> None:
+    def _attach_lease(self, change: Change, lease: int) -> None:
         old = self._leases.get(self._leased.pop(change.key, 0))
         if old is not None:
             old.keys.discard(change.key)
