--- a/tests/rehearsal/test_boxes.py
+++ b/tests/rehearsal/test_boxes.py
@@ -38,7 +38,7 @@
         return framing.request(target_path(entry), {"Req-Id": entry.ids[0]})
 
 
-def on_boxes(test: Callable[[OpenBox], Awaitable[None]]) -> None:
+def run_on_box(test: Callable[[OpenBox], Awaitable[None]]) -> None:
     selector = PollTimingSelector()
     loop = asyncio.SelectorEventLoop(selector)
     try:
@@ -85,7 +85,7 @@
             return found[0]
 
 
-def test_no_look_at_a_frozen_box_gets_an_answer_through_old_connections_or_new_ones() -> None:
+def test_a_frozen_box_answers_neither_on_existing_connections_nor_on_new_ones() -> None:
     async def test(box: OpenBox) -> None:
         probe = framing.request("/stats", {"Host": "box"})
         old_reader, old_writer = await asyncio.open_connection(*box.address)
@@ -108,10 +108,10 @@
         for writer in (old_writer, new_writer):
             writer.close()
 
-    on_boxes(test)
+    run_on_box(test)
 
 
-def test_work_in_hand_stands_still_in_a_freeze() -> None:
+def test_running_work_makes_no_progress_during_a_freeze() -> None:
     async def test(box: OpenBox) -> None:
         reader, writer = await asyncio.open_connection(*box.address)
         writer.write(box.request())
@@ -123,10 +123,10 @@
         assert attempt.end_ns - attempt.whole_ns >= FREEZE_NS + 5 * MS
         writer.close()
 
-    on_boxes(test)
+    run_on_box(test)
 
 
-def test_a_draining_box_turns_away_with_the_mark_and_a_dead_one_resets_and_refuses() -> None:
+def test_a_draining_box_declines_with_the_header_and_a_terminated_one_resets_and_refuses() -> None:
     async def test(box: OpenBox) -> None:
         reader, writer = await asyncio.open_connection(*box.address)
         box.host.drain()
@@ -143,10 +143,10 @@
         again.close()
         assert [life.state for life in box.context.records.lives] == ["draining", "down", "cold"]
 
-    on_boxes(test)
+    run_on_box(test)
 
 
-def test_a_box_that_dies_while_it_drains_ends_what_it_held() -> None:
+def test_a_box_that_dies_while_draining_ends_its_attempts() -> None:
     async def test(box: OpenBox) -> None:
         reader, writer = await asyncio.open_connection(*box.address)
         writer.write(box.request())
@@ -159,10 +159,10 @@
         assert box.context.records.attempts[0].how == "died"
         writer.close()
 
-    on_boxes(test)
+    run_on_box(test)
 
 
-def test_a_machine_that_vanished_is_silent_and_new_connections_never_come_up() -> None:
+def test_an_isolated_box_is_silent_and_new_connections_are_never_established() -> None:
     async def test(box: OpenBox) -> None:
         reader, writer = await asyncio.open_connection(*box.address)
         box.host.isolate()
@@ -174,10 +174,10 @@
         assert box.context.records.attempts == []
         writer.close()
 
-    on_boxes(test)
+    run_on_box(test)
 
 
-def test_what_no_caller_sent_is_declined_and_noted() -> None:
+def test_a_request_that_no_caller_sent_is_rejected_and_recorded() -> None:
     async def test(box: OpenBox) -> None:
         for target, name, status in (
             ("/rate-lookup/0", "0" * 16, 400),
@@ -190,10 +190,10 @@
             writer.close()
         assert [o.rule for o in box.context.records.oddities] == ["foreign"] * 3
 
-    on_boxes(test)
+    run_on_box(test)
 
 
-def test_a_second_copy_is_seen_while_the_first_is_open_and_a_closed_one_excuses() -> None:
+def test_a_second_copy_overlaps_an_open_first_one_and_not_a_cancelled_one() -> None:
     async def test(box: OpenBox) -> None:
         first_reader, first = await asyncio.open_connection(*box.address)
         _, second = await asyncio.open_connection(*box.address)
@@ -216,4 +216,4 @@
         for writer in (first, third):
             writer.close()
 
-    on_boxes(test)
+    run_on_box(test)
