--- a/lanemux/rehearsal/boxes.py
+++ b/lanemux/rehearsal/boxes.py
@@ -1,4 +1,4 @@
-"""All quote boxes of a run on their sockets, and the plan's faults done to them."""
+"""All quote boxes of a run on their sockets, and the faults that the plan injects into them."""
 
 from __future__ import annotations
 
@@ -7,48 +7,48 @@
 
 from lanemux.rehearsal.addresses import Address
 from lanemux.rehearsal.books import BoxBooks
-from lanemux.rehearsal.box_host import Host
-from lanemux.rehearsal.box_world import World
-from lanemux.rehearsal.looks import Lateness
+from lanemux.rehearsal.box_context import BoxContext
+from lanemux.rehearsal.box_host import BoxHost
+from lanemux.rehearsal.loop_timing import LoopLagRecorder
 from lanemux.rehearsal.plan import Happening
 from lanemux.rehearsal.scenario import AT_BALANCERS
 
-SAMPLE_S = 0.1  # how often the books note what each box holds
-SWEEP_S = 1.0  # and connections that stood idle are looked for
+LOAD_SAMPLE_INTERVAL_S = 0.1  # how often the number of requests at each box is recorded
+IDLE_CHECK_INTERVAL_S = 1.0  # how often idle connections are closed
 
 
 class Boxes:
-    """All boxes of a run, and what the plan does to them."""
+    """All boxes of a run, and the schedule of their faults."""
 
-    def __init__(self, world: World, addresses: list[list[Address]]) -> None:
-        self.world = world
-        self.hosts = [Host(world, i, addresses[box.slot]) for i, box in enumerate(world.plan.boxes)]
+    def __init__(self, context: BoxContext, addresses: list[list[Address]]) -> None:
+        self.context = context
+        self.hosts = [BoxHost(context, i, addresses[box.slot]) for i, box in enumerate(context.plan.boxes)]
         self._timers: list[asyncio.TimerHandle] = []
-        self._ticks: dict[Callable[[Host], None], asyncio.TimerHandle] = {}
-        self._lateness: Lateness | None = None
+        self._periodic: dict[Callable[[BoxHost], None], asyncio.TimerHandle] = {}
+        self._loop_lag: LoopLagRecorder | None = None
 
-    def open(self) -> None:
-        """Start the boxes that are there at first, warm."""
-        for number in self.world.plan.first:
+    def start_initial(self) -> None:
+        """Start the boxes that run from the beginning, warm."""
+        for number in self.context.plan.first:
             self.hosts[number].start(cold=False)
 
-    def begin(self, measured: bool = True) -> None:
-        """The run begins: the plan's faults come at their times. `measured`: book how late this loop runs."""
-        for happening in self.world.plan.happenings:
+    def start_schedule(self, measured: bool = True) -> None:
+        """Schedule the plan's faults, which start the run. `measured`: record the lag of this loop."""
+        for happening in self.context.plan.happenings:
             if happening.what not in AT_BALANCERS:
-                self._timers.append(self.world.at(happening.at_ns, self.happen, happening))
+                self._timers.append(self.context.call_at(happening.at_ns, self.apply, happening))
         if measured:
-            self._lateness = Lateness(self.world.loop, self.world.books.lag_ns)
-        self._tick(SAMPLE_S, Host.sample)
-        self._tick(SWEEP_S, Host.sweep)
+            self._loop_lag = LoopLagRecorder(self.context.loop, self.context.records.lag_ns)
+        self._run_periodically(LOAD_SAMPLE_INTERVAL_S, BoxHost.sample_load)
+        self._run_periodically(IDLE_CHECK_INTERVAL_S, BoxHost.close_idle_connections)
 
-    def _tick(self, every_s: float, do: Callable[[Host], None]) -> None:
+    def _run_periodically(self, interval_s: float, action: Callable[[BoxHost], None]) -> None:
         for host in self.hosts:
-            do(host)
-        self._ticks[do] = self.world.loop.call_later(every_s, self._tick, every_s, do)
+            action(host)
+        self._periodic[action] = self.context.loop.call_later(interval_s, self._run_periodically, interval_s, action)
 
-    def happen(self, happening: Happening) -> None:
-        """Do to a box what a plan says."""
+    def apply(self, happening: Happening) -> None:
+        """Apply an event of the plan to its box."""
         host = self.hosts[happening.who]
         match happening.what:
             case "start":
@@ -56,24 +56,24 @@
             case "drain":
                 host.drain()
             case "leave" | "die":
-                host.die()
+                host.terminate()
             case "vanish":
-                host.vanish()
+                host.isolate()
             case "return":
-                host.come_back()
+                host.reconnect()
             case "freeze":
                 host.freeze(happening.until_ns - happening.at_ns)
             case "neighbour":
-                host.neighbour(happening.size, happening.until_ns)
+                host.add_noisy_neighbour(happening.size, happening.until_ns)
 
-    def end(self) -> BoxBooks:
-        """Stop, and hand over the books; what was still out is noted as it is."""
-        for timer in (*self._timers, *self._ticks.values()):
+    def stop(self) -> BoxBooks:
+        """Stop all boxes and return the records, with unfinished attempts as they are."""
+        for timer in (*self._timers, *self._periodic.values()):
             timer.cancel()
-        if self._lateness is not None:
-            self._lateness.stop()
-        open_at_end = self.world.books.open_at_end
+        if self._loop_lag is not None:
+            self._loop_lag.stop()
+        open_at_end = self.context.records.open_at_end
         for host in self.hosts:
-            host.die()
-        self.world.books.open_at_end = open_at_end
-        return self.world.books
+            host.terminate()
+        self.context.records.open_at_end = open_at_end
+        return self.context.records
