--- a/bench/members.py
+++ b/bench/members.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from lanemux.fleet.wire import Standing
+from lanemux.fleet.wire import Status
 from tests.peers import SECOND, Peers
 
 QUIET_S, WATCHED_S, LOST, SHORT, SHORT_PART = 20.0, 25.0, 0.05, 6, 0.1
@@ -39,9 +39,9 @@
     killed, at = 1, peers.now
     peers.kill(killed)
     peers.run(WATCHED_S)
-    knew = {who: when for when, who, of, what in peers.seen if of == killed and when >= at and what is Standing.GONE}
+    knew = {who: when for when, who, of, what in peers.seen if of == killed and when >= at and what is Status.GONE}
     times = sorted((when - at) / SECOND for when in knew.values())
-    false = sum(what is Standing.GONE and (of != killed or when < at) for when, _, of, what in peers.seen)
+    false = sum(what is Status.GONE and (of != killed or when < at) for when, _, of, what in peers.seen)
     last = times[-1] if len(times) == count - 1 else WATCHED_S
     return Played(times[0] if times else WATCHED_S, last, false * 3600 / (QUIET_S + WATCHED_S), messages, size)
 
--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -89,9 +89,11 @@
         return None
     from lanemux.core.address import read_address
     from lanemux.etcd.member import Target
-    from lanemux.etcd.source import Make
+    from lanemux.etcd.source import EtcdSourceFactory
 
-    return Make(Target(tuple(map(read_address, told.endpoints)), told.prefix, told.user, told.password_file))
+    return EtcdSourceFactory(
+        Target(tuple(map(read_address, told.endpoints)), told.prefix, told.user, told.password_file)
+    )
 
 
 def _storm(operators: Operators) -> tuple[MakeModule, MakeConnectionAdmission | None]:
@@ -113,7 +115,7 @@
 
     from lanemux.fleet.setup import add_membership
 
-    return partial(add_membership, told=operators.fleet)
+    return partial(add_membership, fleet=operators.fleet)
 
 
 def _serve(rest: Sequence[str]) -> int:
@@ -169,11 +171,11 @@
     """What of the operators' file does not fit the configuration, a line each."""
     if operators.fleet is None or not path:
         return []
-    from lanemux.fleet.setup import faults
+    from lanemux.fleet.setup import config_errors
     from lanemux.net.config import BadConfig, read_config
 
     try:
-        return [f"{file}: {fault}" for fault in faults(operators.fleet, read_config(path))]
+        return [f"{file}: {fault}" for fault in config_errors(operators.fleet, read_config(path))]
     except BadConfig:
         return []
 
--- a/lanemux/etcd/source.py
+++ b/lanemux/etcd/source.py
@@ -14,7 +14,7 @@
 from lanemux.core.membership import Listing, Membership
 from lanemux.core.source import Heard
 from lanemux.core.system import Machine, System
-from lanemux.etcd.board import Board
+from lanemux.etcd.change_queue import Board
 from lanemux.etcd.follower import (
     SECOND,
     AskProgress,
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Make:
+class EtcdSourceFactory:
     """What makes the source of a target; equal for equal targets."""
 
     target: Target
--- a/lanemux/fleet/members.py
+++ b/lanemux/fleet/members.py
@@ -24,7 +24,7 @@
     Kind,
     Message,
     News,
-    Standing,
+    Status,
     read,
 )
 
@@ -47,7 +47,7 @@
     """Another standing of one member, for whoever asks."""
 
     number: int
-    standing: Standing
+    standing: Status
     incarnation: int
 
 
@@ -56,7 +56,7 @@
     """What is known of one balancer."""
 
     number: int
-    standing: Standing = Standing.UP  # those that the configuration names are taken to be there until looked at
+    standing: Status = Status.UP  # those that the configuration names are taken to be there until looked at
     incarnation: int = 0
     by: int = NOBODY
     told: int = 10**6  # how often this was told on; news begin at 0
@@ -127,7 +127,7 @@
 
     def up(self) -> list[int]:
         """The numbers of those that count as there, this one included."""
-        there = [m.number for m in self.members.values() if m.standing <= Standing.SUSPECTED]
+        there = [m.number for m in self.members.values() if m.standing <= Status.SUSPECTED]
         return sorted([*there, self.me])
 
     def tick(self, now: int) -> None:
@@ -139,7 +139,7 @@
             self._go_on(self._look, now)
         for number in [n for n in self._doubted if now >= self._ends_ns(self.members[n])]:
             member = self.members[number]
-            self._take(News(number, Standing.GONE, member.incarnation, self.me), now)
+            self._take(News(number, Status.GONE, member.incarnation, self.me), now)
         for question, (asker, theirs, whom, until) in list(self._for_others.items()):
             if now >= until:
                 del self._for_others[question]
@@ -164,8 +164,8 @@
         if member is None:
             self.bad += 1
             return
-        if (message.incarnation, Standing.UP) > member.word:
-            self._take(News(sender, Standing.UP, message.incarnation, sender), now)
+        if (message.incarnation, Status.UP) > member.word:
+            self._take(News(sender, Status.UP, message.incarnation, sender), now)
         self._about_me(message.you, message.your_incarnation)
         for news in message.news:
             if news.number == self.me:
@@ -198,13 +198,13 @@
     def _next(self) -> int | None:
         """Each in turn, in an order drawn anew for each round; now and then one that is gone."""
         if self._looks % GONE_EVERY == 0:
-            gone = [m.number for m in self.members.values() if m.standing is Standing.GONE]
+            gone = [m.number for m in self.members.values() if m.standing is Status.GONE]
             if gone:
                 return self._rng.choice(gone)
         for _ in range(2):
             while self._order:
                 number = self._order.pop()
-                if self.members[number].standing <= Standing.SUSPECTED:
+                if self.members[number].standing <= Status.SUSPECTED:
                     return number
             self._order = list(self.members)
             self._rng.shuffle(self._order)
@@ -226,8 +226,8 @@
         if look.helpers and not look.silent:
             self._feel(1)  # not even the helpers were heard: it may be this process
         member = self.members[look.number]
-        if member.standing <= Standing.SUSPECTED:
-            self._take(News(look.number, Standing.SUSPECTED, member.incarnation, self.me), now)
+        if member.standing <= Status.SUSPECTED:
+            self._take(News(look.number, Status.SUSPECTED, member.incarnation, self.me), now)
 
     def _answer(self, sender: int, message: Message, now: int) -> None:
         look = self._look
@@ -264,7 +264,7 @@
             return
         if (news.incarnation, news.standing) == member.word:
             if (
-                news.standing is Standing.SUSPECTED
+                news.standing is Status.SUSPECTED
                 and news.by not in member.doubters
                 and len(member.doubters) < CONFIRMED
             ):
@@ -275,7 +275,7 @@
         member.standing, member.incarnation, member.by = news.standing, news.incarnation, news.by
         self._doubted.pop(news.number, None)
         member.doubters.clear()
-        if news.standing is Standing.SUSPECTED:
+        if news.standing is Status.SUSPECTED:
             member.suspected_ns = now
             member.doubters.add(news.by)
             self._doubted[news.number] = None
@@ -283,13 +283,13 @@
         if member.standing is not before:
             self.changes.append(Change(member.number, member.standing, member.incarnation))
 
-    def _about_me(self, standing: Standing, incarnation: int) -> None:
+    def _about_me(self, standing: Status, incarnation: int) -> None:
         """Who says that this one is not there is answered with a later incarnation; so is word of a former life."""
-        if self.leaving or incarnation < self.incarnation or (incarnation, standing) == (self.incarnation, Standing.UP):
+        if self.leaving or incarnation < self.incarnation or (incarnation, standing) == (self.incarnation, Status.UP):
             return
-        if standing is not Standing.UP and incarnation == self.incarnation:
+        if standing is not Status.UP and incarnation == self.incarnation:
             self._feel(1)
-        if standing is Standing.UP:
+        if standing is Status.UP:
             self.incarnation = incarnation  # of a former life, or of another process of this balancer
             return
         self.incarnation = min(incarnation + 1, MAX_INCARNATION)
@@ -323,7 +323,7 @@
 
     def _some(self, most: int, but: Iterable[int]) -> list[int]:
         """So many of those that are up, by chance."""
-        up = [m.number for m in self.members.values() if m.standing is Standing.UP and m.number not in but]
+        up = [m.number for m in self.members.values() if m.standing is Status.UP and m.number not in but]
         return self._rng.sample(up, min(most, len(up)))
 
     def _tell_some(self) -> None:
@@ -335,7 +335,7 @@
         found = []
         for i in range(self.count):
             member = self.members.get((first + i) % self.count)
-            if member is not None and member.word != (0, Standing.UP):
+            if member is not None and member.word != (0, Status.UP):
                 found.append(News(member.number, member.standing, member.incarnation, member.by))
                 if len(found) == MOST_NEWS:
                     break
@@ -344,7 +344,7 @@
     def _send(self, to: int, kind: Kind, question: int, about: int = NOBODY, news: tuple[News, ...] = ()) -> None:
         member, told = self.members[to], list(news)
         if self.leaving:
-            told = [News(self.me, Standing.LEAVING, self.incarnation, self.me), *told][:MOST_NEWS]
+            told = [News(self.me, Status.LEAVING, self.incarnation, self.me), *told][:MOST_NEWS]
         for number in list(islice(self._fresh, MOST_NEWS - len(told))):
             other = self.members[number]
             told.append(News(number, other.standing, other.incarnation, other.by))
--- a/lanemux/fleet/setup.py
+++ b/lanemux/fleet/setup.py
@@ -16,9 +16,9 @@
 log = logging.getLogger(__name__)
 
 
-def faults(told: Fleet, config: Config) -> list[str]:
+def config_errors(fleet: Fleet, config: Config) -> list[str]:
     """What of the section does not fit the configuration: key and reason."""
-    strange = [number for number in told.council if number >= len(config.peers)]
+    strange = [number for number in fleet.council if number >= len(config.peers)]
     return (
         [
             f"fleet.council: {number} is no number in peers; allowed are 0 to {len(config.peers) - 1}"
@@ -29,11 +29,11 @@
     )
 
 
-def add_membership(node: Node, told: Fleet) -> None:
+def add_membership(node: Node, fleet: Fleet) -> None:
     """Before the node starts. Without peers there is nobody to look at: that is logged, and nothing is plugged in."""
     config = node.config
     if config.peer_listen is None or len(config.peers) < 2:
         log.warning("%s: [fleet] is without effect: the configuration names no peers", config.name)
         return
     rng = random.Random(f"{config.seed} {now_ns()}")  # each process is another one, also of the same balancer
-    node.plugins.add(View(config.settings.me, len(config.peers), rng, now_ns(), told.council, told.lease_ms * MS))
+    node.plugins.add(View(config.settings.me, len(config.peers), rng, now_ns(), fleet.council, fleet.lease_ms * MS))
--- a/lanemux/fleet/view.py
+++ b/lanemux/fleet/view.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TypeVar
 
-from lanemux.fleet import ballots, following
+from lanemux.fleet import election_wire, leader_query
 from lanemux.fleet.election import Seat
-from lanemux.fleet.following import Follower, is_following
+from lanemux.fleet.leader_query import Follower, is_following
 from lanemux.fleet.members import Members
-from lanemux.fleet.wire import MAGIC, BadMessage, Standing
+from lanemux.fleet.wire import MAGIC, BadMessage, Status
 
 log = logging.getLogger(__name__)
 
@@ -45,25 +45,25 @@
     def heard(self, sender: int, data: bytes, now: int) -> None:
         if is_following(data):
             self._followed(sender, data, now)
-        elif ballots.is_ballot(data):
+        elif election_wire.is_ballot(data):
             self._voted(sender, data, now)
         else:
             self.members.heard(sender, data, now)
         self._tell(now)
 
     def _voted(self, sender: int, data: bytes, now: int) -> None:
-        word = self._read(ballots.read, data)
+        word = self._read(election_wire.read, data)
         if word is not None and self.seat is not None:
             self.seat.heard(sender, word, now)
 
     def _followed(self, sender: int, data: bytes, now: int) -> None:
-        word = self._read(following.read, data)
+        word = self._read(leader_query.read, data)
         if word is None:
             return
         if self.follower is not None:
             self.follower.heard(sender, word, now)
-        elif self.seat is not None and word.kind is following.Kind.WHO and sender not in self.council:
-            self._said.append((sender, following.written(following.answer(self.seat, word, now))))
+        elif self.seat is not None and word.kind is leader_query.Kind.WHO and sender not in self.council:
+            self._said.append((sender, leader_query.written(leader_query.answer(self.seat, word, now))))
 
     def _read(self, read: Callable[[bytes], W], data: bytes) -> W | None:
         try:
@@ -94,10 +94,10 @@
     def take_out(self) -> list[tuple[int, bytes]]:
         out, self.members.out = self.members.out, []
         if self.seat is not None:
-            out += [(to, ballots.written(word)) for to, word in self.seat.out]
+            out += [(to, election_wire.written(word)) for to, word in self.seat.out]
             self.seat.out = []
         if self.follower is not None:
-            out += [(to, following.written(word)) for to, word in self.follower.out]
+            out += [(to, leader_query.written(word)) for to, word in self.follower.out]
             self.follower.out = []
         out += self._said
         self._said = []
@@ -106,7 +106,7 @@
     def section(self, now: int) -> Mapping[str, object]:
         """JSON of `/admin/fleet`."""
         known = {m.number: (m.standing, m.incarnation) for m in self.members.members.values()}
-        known[self.members.me] = (Standing.LEAVING if self.members.leaving else Standing.UP, self.members.incarnation)
+        known[self.members.me] = (Status.LEAVING if self.members.leaving else Status.UP, self.members.incarnation)
         members = [
             {"number": number, "state": standing.name.lower(), "incarnation": incarnation}
             for number, (standing, incarnation) in sorted(known.items())
--- a/lanemux/fleet/wire.py
+++ b/lanemux/fleet/wire.py
@@ -23,7 +23,7 @@
 MOST_NEWS = (MESSAGE - HEAD.size - 1) // NEWS.size  # one byte is for the length that no words have
 
 
-class Standing(IntEnum):
+class Status(IntEnum):
     """How a balancer stands. Of two words with the same incarnation the one further down holds."""
 
     UP = 0
@@ -47,7 +47,7 @@
     """One balancer's standing, and who says so first."""
 
     number: int
-    standing: Standing
+    standing: Status
     incarnation: int
     by: int
 
@@ -59,7 +59,7 @@
     kind: Kind
     boot: int  # the sender's process, by chance
     incarnation: int  # of the sender
-    you: Standing  # as the sender knows the receiver
+    you: Status  # as the sender knows the receiver
     your_incarnation: int
     question: int  # its number, modulo 2**16
     about: int = NOBODY
@@ -105,9 +105,9 @@
         raise BadMessage(f"{len(data)} bytes for {count} news")
     try:
         news = tuple(
-            News(number, Standing(standing), inc, by)
+            News(number, Status(standing), inc, by)
             for number, standing, inc, by in NEWS.iter_unpack(data[HEAD.size : size])
         )
-        return Message(Kind(kind), boot, incarnation, Standing(you), yours, question, about, news)
+        return Message(Kind(kind), boot, incarnation, Status(you), yours, question, about, news)
     except ValueError as error:
         raise BadMessage(str(error)) from None
--- a/lanemux/virtual/stage.py
+++ b/lanemux/virtual/stage.py
@@ -370,9 +370,9 @@
         if self.plan.scenario.discovery.source == "agent":
             return None
         from lanemux.etcd.member import Target
-        from lanemux.etcd.source import Make
+        from lanemux.etcd.source import EtcdSourceFactory
 
-        return Make(Target((balancer.place.discovery,), f"/rehearsal/{balancer.number}/"), process)
+        return EtcdSourceFactory(Target((balancer.place.discovery,), f"/rehearsal/{balancer.number}/"), process)
 
     def write_configuration(self, balancer: RestartableBalancer) -> None:
         assert balancer.process is not None
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from lanemux.core.words import read_words
-from lanemux.fleet import ballots, election, wire
+from lanemux.fleet import election, election_wire, wire
 from lanemux.fleet.election import Ballot, Round, Seat, Step, Word
 from lanemux.fleet.wire import BadMessage
 from tests.cluster import explore as explorer
@@ -161,11 +161,11 @@
 @settings(derandomize=True, deadline=None)
 @given(WORDS)
 def test_a_word_between_seats_is_read_as_it_was_written_and_cut_by_nobody(word: Word) -> None:
-    data = ballots.written(word)
-    assert ballots.read(data) == word and ballots.is_ballot(data) and read_words(data) == []
+    data = election_wire.written(word)
+    assert election_wire.read(data) == word and election_wire.is_ballot(data) and read_words(data) == []
     for length in range(len(data)):
         with pytest.raises(BadMessage):
-            ballots.read(data[:length])
+            election_wire.read(data[:length])
     with pytest.raises(BadMessage):
         wire.read(data)
 
--- a/tests/cluster/test_following.py
+++ b/tests/cluster/test_following.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from lanemux.core.words import read_words
-from lanemux.fleet import ballots, following
+from lanemux.fleet import election_wire, leader_query
 from lanemux.fleet.election import Seat
-from lanemux.fleet.following import Follower, Kind, Word
+from lanemux.fleet.leader_query import Follower, Kind, Word
 from lanemux.fleet.wire import BadMessage
 
 MS = 1_000_000
@@ -74,7 +74,7 @@
                 assert isinstance(word, Word)
                 others[to].heard(sender, word, own)
             elif isinstance(word, Word):
-                send(to, sender, following.answer(seats[to], word, own))
+                send(to, sender, leader_query.answer(seats[to], word, own))
             else:
                 seats[to].heard(sender, word, own)  # type: ignore[arg-type]
         if rng.random() < crashes:
@@ -179,10 +179,10 @@
 @settings(derandomize=True, deadline=None)
 @given(WORDS)
 def test_a_word_on_who_leads_is_read_as_it_was_written_and_cut_by_nobody(word: Word) -> None:
-    data = following.written(word)
-    assert following.read(data) == word and following.is_following(data) and read_words(data) == []
+    data = leader_query.written(word)
+    assert leader_query.read(data) == word and leader_query.is_following(data) and read_words(data) == []
     for length in range(len(data)):
         with pytest.raises(BadMessage):
-            following.read(data[:length])
+            leader_query.read(data[:length])
     with pytest.raises(BadMessage):
-        ballots.read(data)
+        election_wire.read(data)
--- a/tests/etcd/test_drains.py
+++ b/tests/etcd/test_drains.py
@@ -15,7 +15,7 @@
 from lanemux import interface as api
 from lanemux.core.membership import Membership
 from lanemux.etcd.member import Target
-from lanemux.etcd.source import Make
+from lanemux.etcd.source import EtcdSourceFactory
 from lanemux.net.config import Config
 from lanemux.net.node import Node
 from lanemux.rehearsal.etcd.server import StandIn
@@ -75,7 +75,7 @@
         await self.standin.start()
         self.up()
         config = Config("n", (HOST, 0), (HOST, 1), 1, 1024, settings(connect_timeout_ns=5_000_000_000))
-        return Node(config, self.script, Make(Target((self.standin.address,), PREFIX)))
+        return Node(config, self.script, EtcdSourceFactory(Target((self.standin.address,), PREFIX)))
 
     def put(self, rows: dict[str, bytes | None]) -> None:
         self.standin.store.write([(key(h), v) for h, v in rows.items()])
--- a/tests/etcd/test_histories.py
+++ b/tests/etcd/test_histories.py
@@ -15,7 +15,7 @@
 from lanemux import interface as api
 from lanemux.core.membership import Entry, Membership
 from lanemux.etcd import follower as f
-from lanemux.etcd.board import DOUBT_NS, Board
+from lanemux.etcd.change_queue import DOUBT_NS, Board
 from lanemux.rehearsal.etcd.store import Compacted, Future, Store
 
 PREFIX, END = b"/boxes/", b"/boxes0"
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -18,7 +18,7 @@
 from lanemux.core.membership import Entry, Listing, Membership
 from lanemux.etcd import follower, member, source
 from lanemux.etcd.member import Target
-from lanemux.etcd.source import EtcdSource, Make
+from lanemux.etcd.source import EtcdSource, EtcdSourceFactory
 from lanemux.net.config import Config
 from lanemux.net.node import Node
 from lanemux.net.reload import Lists
@@ -433,7 +433,7 @@
 
 
 @asynccontextmanager
-async def balancer(registry: Registry, source_: Make | None) -> AsyncIterator[Node]:
+async def balancer(registry: Registry, source_: EtcdSourceFactory | None) -> AsyncIterator[Node]:
     """A node whose list comes from a discovery, or from etcd."""
     await registry.upstream.start()
     node = Node(Config("n", (HOST, 0), (HOST, registry.upstream.port), 1, 1024, settings()), Script(), source_)
@@ -455,7 +455,7 @@
         async with balancer(registry, None) as node:
             pools = node._hub.pools
             await until(lambda: len(pools) == 2)
-            node.upstream_set.replace_source(Make(Target((standin.address,), PREFIX)))
+            node.upstream_set.replace_source(EtcdSourceFactory(Target((standin.address,), PREFIX)))
             await until(lambda: standin.lists >= 2)
             registry.change("d")  # the old one still counts
             await until(lambda: numbers.number("d") in pools)
@@ -482,7 +482,7 @@
         async with balancer(registry, None) as node:
             await until(lambda: len(node._hub.pools) == 1)
             old = node.upstream_set.source
-            node.upstream_set.replace_source(Make(Target((standin.address,), PREFIX)))
+            node.upstream_set.replace_source(EtcdSourceFactory(Target((standin.address,), PREFIX)))
             await until(lambda: node.upstream_set.source is not old and node.upstream_set.successor is None)
         await standin.stop()
 
@@ -493,7 +493,7 @@
     path = tmp_path / "operators.toml"
     path.write_text('[etcd]\nendpoints = ["127.0.0.1:1"]\nprefix = "/a/"\n')
     lists = Lists(lambda: _source(load(str(path))))
-    replaced: list[Make | None] = []
+    replaced: list[EtcdSourceFactory | None] = []
     node = cast(Node, SimpleNamespace(upstream_set=SimpleNamespace(replace_source=replaced.append)))
     lists.reload(node)
     path.write_text("[etcd]\n")
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 
 from lanemux.fleet.members import CONFIRMED, PERIOD_NS, RETOLD, Members
-from lanemux.fleet.wire import MAX_NUMBER, MOST_NEWS, NOBODY, Kind, Message, News, Standing, read
+from lanemux.fleet.wire import MAX_NUMBER, MOST_NEWS, NOBODY, Kind, Message, News, Status, read
 from tests.peers import SECOND, Peers
 
 SEEDS = range(1, 9)
-UP, SUSPECTED, LEAVING, GONE = Standing
+UP, SUSPECTED, LEAVING, GONE = Status
 
 
-def said(*news: News, incarnation: int = 0, you: Standing = UP, yours: int = 0) -> bytes:
+def said(*news: News, incarnation: int = 0, you: Status = UP, yours: int = 0) -> bytes:
     return Message(Kind.HERE, 7, incarnation, you, yours, 0, NOBODY, news).data()
 
 
@@ -124,7 +124,7 @@
 
 
 NEWS = st.lists(
-    st.builds(News, st.integers(1, 4), st.sampled_from(Standing), st.integers(0, 5), st.integers(0, 4)),
+    st.builds(News, st.integers(1, 4), st.sampled_from(Status), st.integers(0, 5), st.integers(0, 4)),
     min_size=1,
     max_size=12,
 )
@@ -145,7 +145,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.sampled_from([SUSPECTED, GONE, LEAVING]), st.integers(0, 2**32 - 2), st.booleans())
-def test_who_is_called_gone_answers_with_a_later_incarnation(standing: Standing, theirs: int, by_news: bool) -> None:
+def test_who_is_called_gone_answers_with_a_later_incarnation(standing: Status, theirs: int, by_news: bool) -> None:
     me = Members(0, 3, random.Random(1), SECOND)
     me.heard(1, said(News(0, standing, theirs, 2)) if by_news else said(you=standing, yours=theirs), SECOND)
     assert me.incarnation == theirs + 1
--- a/tests/members/test_wire.py
+++ b/tests/members/test_wire.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from lanemux.core.words import FORM, MESSAGE, read_words
-from lanemux.fleet.wire import HEAD, MOST_NEWS, BadMessage, Kind, Message, News, Standing, read
+from lanemux.fleet.wire import HEAD, MOST_NEWS, BadMessage, Kind, Message, News, Status, read
 
 NUMBERS, WIDE = st.integers(0, 2**16 - 1), st.integers(0, 2**32 - 1)
-NEWS = st.builds(News, NUMBERS, st.sampled_from(Standing), WIDE, NUMBERS)
+NEWS = st.builds(News, NUMBERS, st.sampled_from(Status), WIDE, NUMBERS)
 MESSAGES = st.builds(
     Message,
     st.sampled_from(Kind),
     WIDE,
     WIDE,
-    st.sampled_from(Standing),
+    st.sampled_from(Status),
     WIDE,
     NUMBERS,
     NUMBERS,
@@ -53,13 +53,13 @@
 
 
 def test_a_word_and_another_version_are_refused() -> None:
-    plain = Message(Kind.ASK, 1, 2, Standing.UP, 3, 4).data()
+    plain = Message(Kind.ASK, 1, 2, Status.UP, 3, 4).data()
     for data in (b"\0" * FORM.size, plain[:1] + b"\x02" + plain[2:], b"\0" + plain[1:], plain + b"\0" * 9):
         with pytest.raises(BadMessage):
             read(data)
 
 
 def test_more_news_than_a_message_holds_are_not_written() -> None:
-    news = (News(1, Standing.UP, 1, 1),) * (MOST_NEWS + 1)
+    news = (News(1, Status.UP, 1, 1),) * (MOST_NEWS + 1)
     with pytest.raises(ValueError, match="news in one message"):
-        Message(Kind.ASK, 1, 2, Standing.UP, 3, 4, 5, news).data()
+        Message(Kind.ASK, 1, 2, Status.UP, 3, 4, 5, news).data()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from lanemux.fleet.members import Members
-from lanemux.fleet.wire import Standing
+from lanemux.fleet.wire import Status
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -26,7 +26,7 @@
         self.slow: dict[int, float] = {}  # member: share of the time for which it stands still, half a second at once
         self.cut: Callable[[int, int], bool] = lambda a, b: False  # is the way from a to b cut now?
         self.sent, self.sent_bytes = 0, 0
-        self.seen: list[tuple[int, int, int, Standing]] = []  # when, who, of whom, what
+        self.seen: list[tuple[int, int, int, Status]] = []  # when, who, of whom, what
         self._agenda: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
         self._until: dict[int, int] = {}  # it stands still until then
@@ -57,7 +57,7 @@
             what()
         self.now = end
 
-    def views(self, of: int) -> list[Standing]:
+    def views(self, of: int) -> list[Status]:
         return [m.members[of].standing for i, m in self.members.items() if i != of]
 
     def _awake(self, i: int, what: Callable[[], None]) -> bool:
