--- a/lanemux/fleet/__init__.py
+++ b/lanemux/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there among the balancers, and what they settle, in peers' datagrams."""
+"""Membership and leader election among the balancers, carried in datagrams between peers."""
--- a/lanemux/fleet/command.py
+++ b/lanemux/fleet/command.py
@@ -1,4 +1,4 @@
-"""`python -m lanemux fleet show ADDRESS`: who is there, as one balancer sees it."""
+"""`python -m lanemux fleet show ADDRESS`: the fleet's members as one balancer sees them."""
 
 from __future__ import annotations
 
@@ -10,46 +10,47 @@
 
 from lanemux.core.address import BadAddress, read_address
 
-SHOWN, FAILED = 0, 1
-ANSWER_S = 2.0  # a call is answered within one
+EXIT_OK, EXIT_FAILED = 0, 1
+TIMEOUT_S = 2.0  # an admin call is answered within 1 s
 
 
 def main(argv: Sequence[str]) -> int:
-    """Exit status: 0 shown; 1 it can't be had; 2 bad use."""
+    """Exit status: 0 shown; 1 not available; 2 usage error."""
     parser = argparse.ArgumentParser("lanemux fleet", allow_abbrev=False)
     show = parser.add_subparsers(dest="command", required=True).add_parser("show", allow_abbrev=False)
-    show.add_argument("address", metavar="ADDRESS", help="IP:PORT of a balancer's second address")
-    show.add_argument("--json", action="store_true", help="as the balancer tells it")
+    show.add_argument("address", metavar="ADDRESS", help="IP:PORT of a balancer's admin listener (admin_addr)")
+    show.add_argument("--json", action="store_true", help="print the balancer's JSON unchanged")
     options = parser.parse_args(argv)
     try:
         host, port = read_address(options.address)
     except BadAddress as error:
         parser.error(str(error))
-    connection = http.client.HTTPConnection(host, port, timeout=ANSWER_S)
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         connection.request("GET", "/admin/fleet")
-        answer = connection.getresponse()
-        told = answer.read()
+        response = connection.getresponse()
+        body = response.read()
     except (OSError, http.client.HTTPException) as error:
         print(f"lanemux: {options.address}: {error}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILED
     finally:
         connection.close()
-    if answer.status != 200:
+    if response.status != 200:
         print(
-            f"lanemux: {options.address}: {answer.status}: [fleet] is off there, or it is no second address",
+            f"lanemux: {options.address}: {response.status}: [fleet] is off there, or it is not an admin address",
             file=sys.stderr,
         )
-        return FAILED
-    print(told.decode() if options.json else _table(json.loads(told)))
-    return SHOWN
+        return EXIT_FAILED
+    print(body.decode() if options.json else _table(json.loads(body)))
+    return EXIT_OK
 
 
-def _table(told: dict[str, object]) -> str:
-    members = told["members"]
+def _table(body: dict[str, object]) -> str:
+    members = body["members"]
     assert isinstance(members, list)
     rows = [
-        f"{m['number']:>6}  {m['state']:<10} {m['incarnation']:>11}" + "  (asked)" * (m["number"] == told["me"])
-        for m in members
+        f"{member['number']:>6}  {member['state']:<10} {member['incarnation']:>11}"
+        + "  (asked)" * (member["number"] == body["me"])
+        for member in members
     ]
     return "\n".join(["number  state      incarnation", *rows])
--- a/lanemux/fleet/election.py
+++ b/lanemux/fleet/election.py
@@ -1,9 +1,9 @@
-"""Who leads: a lease on leading, held by at most one at any instant, without a disk. No I/O and no clock.
+"""Leader election by leases: at most one leader at any instant, without stable storage. No I/O and no clock.
 
-After M. Trencseni, A. Gazso, H. Reinhardt, "PaxosLease: Diskless Paxos for Leases" (2012). A seat that may have lost
-its memory says nothing for as long as anything lasts that it may have promised. A lease is reckoned by its holder from
-before the first question of its round, by the others from when they gave their word, and is shorter by what clocks'
-rates may differ: whatever comes late, it is over at its holder first.
+After M. Trencseni, A. Gazso, H. Reinhardt, "PaxosLease: Diskless Paxos for Leases" (2012). A voter that may have lost
+its state does not vote until everything that it may have promised has expired. The holder counts its lease from before
+the first message of its round, the other voters from the moment they accepted it, and the holder's is shorter by the
+largest possible difference of clock rates: however late messages arrive, the lease ends at its holder first.
 """
 
 from __future__ import annotations
@@ -14,185 +14,202 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-DRIFT = 0.01  # most by which any clock's rate differs from true time's; a lease is held for (1 - D) / (1 + D) of a term
-ROUND_PART = 0.25  # of a term, after which a round that has not come to its end is given up
-EXTEND_PART = 0.4  # of a term, after which its holder asks for the next one
-WAIT_PART = 0.3  # of a term at the most between finding nobody leading and asking
+MAX_CLOCK_DRIFT = 0.01  # largest error of a clock's rate; the holder keeps a lease for (1 - D) / (1 + D) of a term
+ROUND_TIMEOUT_FRACTION = 0.25  # of a term, after which an unfinished round is abandoned
+RENEW_FRACTION = 0.4  # of a term, after which the holder starts to renew its lease
+MAX_DELAY_FRACTION = 0.3  # of a term: upper bound of the random delay before a round
 
 
 class Ballot(NamedTuple):
-    """Of two the larger one holds; no two rounds have the same one."""
+    """Identifies a round. The larger of two ballots takes precedence, and no two rounds share one."""
 
-    turn: int
-    seat: int
-    boot: int
+    counter: int
+    voter: int
+    boot_id: int
 
 
-NONE = Ballot(0, 0, 0)
+NO_BALLOT = Ballot(0, 0, 0)
 
 
-class Step(IntEnum):
-    """What a word is for."""
+class MessageKind(IntEnum):
+    """Kinds of election messages."""
 
-    PREPARE = 16  # first question: may I?
-    PROMISE = 17  # nothing below this ballot any more; and who leads, as far as this seat has accepted
-    PROPOSE = 18  # second question: I lead now
+    PREPARE = 16  # first phase: asks for promises
+    PROMISE = 17  # accepts no lower ballot from now on; names the leader that this voter has accepted
+    PROPOSE = 18  # second phase: the sender claims the lease
     ACCEPT = 19
     REJECT = 20  # a larger ballot has been promised
 
 
-class Word(NamedTuple):
-    """One message between seats."""
+class ElectionMessage(NamedTuple):
+    """One message between voters."""
 
-    step: Step
+    kind: MessageKind
     ballot: Ballot
-    seen: Ballot = NONE  # REJECT: what has been promised
-    leads: int = -1  # PROMISE: whom it has accepted, for a term that is not over; -1: nobody
+    promised: Ballot = NO_BALLOT  # REJECT: the ballot that has been promised
+    leader: int = -1  # PROMISE: the accepted leader whose term has not expired; -1: none
 
 
 @dataclass(slots=True)
 class Round:
-    """One attempt to lead."""
+    """One attempt to get or renew the lease."""
 
     ballot: Ballot
-    begun_ns: int
-    promised: set[int]
-    accepted: set[int]
+    started_ns: int
+    promised_by: set[int]
+    accepted_by: set[int]
     proposed: bool = False
 
 
-class Seat:
-    """One seat of the council. Feed it words and ticks; send what `out` holds; ask `leads`."""
+class Voter:
+    """One voter of the council. Feed it messages and ticks, send what is in `outbox`, and query `is_leader`."""
 
     def __init__(
-        self, me: int, council: Sequence[int], term_ns: int, rng: random.Random, now: int, *, blank: bool = True
+        self,
+        me: int,
+        council: Sequence[int],
+        term_ns: int,
+        rng: random.Random,
+        now: int,
+        *,
+        may_have_voted: bool = True,
     ) -> None:
-        """`blank`: it may have had a former life that it knows nothing of. ValueError if it has no seat."""
+        """`may_have_voted`: an earlier process of this voter may have made promises that are lost.
+
+        Raises ValueError if `me` is not in the council, or the council is not odd in number."""
         if me not in council or len(council) % 2 == 0:
-            raise ValueError(f"{me} in a council of {sorted(council)}: it must be in it, and their number odd")
+            raise ValueError(f"{me} must be in the council {sorted(council)}, whose size must be odd")
         self.me, self.council, self.term_ns, self._rng = me, tuple(council), term_ns, rng
-        self.boot = rng.getrandbits(31) + 1
-        self.out: list[tuple[int, Word]] = []
-        self.silent_ns = now + term_ns if blank else now  # it votes for nobody before
-        self.promised = NONE
-        self.accepted = -1  # whom it takes to lead
-        self.accepted_ns = now  # until then
-        self.held_ns = now  # this one leads until then, by its own clock
+        self.boot_id = rng.getrandbits(31) + 1
+        self.outbox: list[tuple[int, ElectionMessage]] = []
+        self.no_vote_until_ns = now + term_ns if may_have_voted else now  # until then it takes no part in votes
+        self.promised_ballot = NO_BALLOT
+        self.accepted_leader = -1  # -1: none
+        self.accepted_until_ns = now
+        self.lease_end_ns = now  # of its own lease, by its own clock
         self._round: Round | None = None
-        self._ask_ns = self.silent_ns + self._pause_ns()
+        self._next_round_ns = self.no_vote_until_ns + self._random_delay_ns()
 
-    # -- what is asked of it --
+    # -- queries and inputs --
 
-    def leads(self, now: int) -> bool:
-        """Does this one lead in this instant? To be asked again for each thing that is done on it."""
-        return now < self.held_ns
+    def is_leader(self, now: int) -> bool:
+        """Whether this voter leads at `now`. Must be checked again before each action that depends on it."""
+        return now < self.lease_end_ns
 
     def leader(self, now: int) -> int | None:
-        """Who leads as far as this seat knows; None: nobody, or one that it has not given its word."""
-        if self.leads(now):
+        """The leader as far as this voter knows; None if there is none or it did not accept the current one."""
+        if self.is_leader(now):
             return self.me
-        return self.accepted if self.accepted not in (-1, self.me) and now < self.accepted_ns else None
+        return (
+            self.accepted_leader if self.accepted_leader not in (-1, self.me) and now < self.accepted_until_ns else None
+        )
 
     def leave(self, now: int) -> None:
-        """It ends in order: it leads no longer, and asks for nothing."""
-        self.held_ns = min(self.held_ns, now)
+        """Orderly shutdown: give up the lease and start no more rounds."""
+        self.lease_end_ns = min(self.lease_end_ns, now)
         self._round = None
-        self._ask_ns = now + 2**62
+        self._next_round_ns = now + 2**62
 
     @property
     def due_ns(self) -> int:
-        """When it wants its next tick."""
-        return self._ask_ns if self._round is None else min(self._ask_ns, self._given_up_ns(self._round))
+        """When the next tick is needed."""
+        return (
+            self._next_round_ns
+            if self._round is None
+            else min(self._next_round_ns, self._round_deadline_ns(self._round))
+        )
 
     def tick(self, now: int) -> None:
-        """Time has come to `now`."""
-        if self._round is not None and now >= self._given_up_ns(self._round):
+        """Advance to `now`."""
+        if self._round is not None and now >= self._round_deadline_ns(self._round):
             self._round = None
-            self._ask_ns = max(self._ask_ns, now + self._pause_ns())
-        if now >= self._ask_ns and now >= self.silent_ns:
-            self.ask(now)
-
-    def ask(self, now: int) -> None:
-        """Begin a round."""
-        self._expire(now)
-        self._ask_ns = now + self._pause_ns() + int(self.term_ns * EXTEND_PART)
-        if self.accepted not in (-1, self.me):
-            return  # somebody leads
-        ballot = Ballot(self.promised.turn + 1, self.me, self.boot)
+            self._next_round_ns = max(self._next_round_ns, now + self._random_delay_ns())
+        if now >= self._next_round_ns and now >= self.no_vote_until_ns:
+            self.start_round(now)
+
+    def start_round(self, now: int) -> None:
+        """Start a round, unless another voter is known to lead."""
+        self._expire_accepted(now)
+        self._next_round_ns = now + self._random_delay_ns() + int(self.term_ns * RENEW_FRACTION)
+        if self.accepted_leader not in (-1, self.me):
+            return  # another voter leads
+        ballot = Ballot(self.promised_ballot.counter + 1, self.me, self.boot_id)
         self._round = Round(ballot, now, set(), set())
-        self._tell_all(Word(Step.PREPARE, ballot), now)
+        self._broadcast(ElectionMessage(MessageKind.PREPARE, ballot), now)
 
-    def heard(self, sender: int, word: Word, now: int) -> None:
-        """A word of another seat; of anybody else it counts for nothing."""
+    def receive(self, sender: int, message: ElectionMessage, now: int) -> None:
+        """Handle a message of another voter; messages of anybody else are ignored."""
         if sender in self.council and sender != self.me:
-            self._answer(sender, word, now)
+            self._handle(sender, message, now)
 
-    # -- as one who is asked --
+    # -- acceptor --
 
-    def _answer(self, sender: int, word: Word, now: int) -> None:
-        if word.step in (Step.PREPARE, Step.PROPOSE):
-            if now < self.silent_ns:
+    def _handle(self, sender: int, message: ElectionMessage, now: int) -> None:
+        if message.kind in (MessageKind.PREPARE, MessageKind.PROPOSE):
+            if now < self.no_vote_until_ns:
                 return
-            self._expire(now)
-            said = (
-                self._prepared(word.ballot) if word.step is Step.PREPARE else self._proposed(sender, word.ballot, now)
+            self._expire_accepted(now)
+            reply = (
+                self._on_prepare(message.ballot)
+                if message.kind is MessageKind.PREPARE
+                else self._on_propose(sender, message.ballot, now)
             )
             if sender == self.me:
-                self._count(self.me, said, now)
+                self._on_reply(self.me, reply, now)
             else:
-                self.out.append((sender, said))
+                self.outbox.append((sender, reply))
         else:
-            self._count(sender, word, now)
-
-    def _prepared(self, ballot: Ballot) -> Word:
-        if ballot < self.promised:
-            return Word(Step.REJECT, ballot, self.promised, self.accepted)
-        self.promised = ballot
-        return Word(Step.PROMISE, ballot, NONE, self.accepted)
-
-    def _proposed(self, sender: int, ballot: Ballot, now: int) -> Word:
-        if ballot < self.promised:
-            return Word(Step.REJECT, ballot, self.promised, self.accepted)
-        self.promised, self.accepted, self.accepted_ns = ballot, sender, now + self.term_ns
-        return Word(Step.ACCEPT, ballot)
-
-    def _expire(self, now: int) -> None:
-        if self.accepted >= 0 and now >= self.accepted_ns:
-            self.accepted = -1
-
-    # -- as one who asks --
-
-    def _count(self, sender: int, word: Word, now: int) -> None:
-        if word.step is Step.REJECT:
-            self.promised = max(self.promised, word.seen)  # the next ballot goes beyond it
-        ours = self._round
-        if ours is None or word.ballot != ours.ballot or now >= self._given_up_ns(ours):
-            return  # of a round that is over
-        if word.step is Step.PROMISE and word.leads in (-1, self.me):
-            ours.promised.add(sender)
-            if not ours.proposed and self._most(ours.promised):
-                ours.proposed = True
-                self._tell_all(Word(Step.PROPOSE, ours.ballot), now)
-        elif word.step is Step.ACCEPT:
-            ours.accepted.add(sender)
-            if self._most(ours.accepted):
+            self._on_reply(sender, message, now)
+
+    def _on_prepare(self, ballot: Ballot) -> ElectionMessage:
+        if ballot < self.promised_ballot:
+            return ElectionMessage(MessageKind.REJECT, ballot, self.promised_ballot, self.accepted_leader)
+        self.promised_ballot = ballot
+        return ElectionMessage(MessageKind.PROMISE, ballot, NO_BALLOT, self.accepted_leader)
+
+    def _on_propose(self, sender: int, ballot: Ballot, now: int) -> ElectionMessage:
+        if ballot < self.promised_ballot:
+            return ElectionMessage(MessageKind.REJECT, ballot, self.promised_ballot, self.accepted_leader)
+        self.promised_ballot, self.accepted_leader, self.accepted_until_ns = ballot, sender, now + self.term_ns
+        return ElectionMessage(MessageKind.ACCEPT, ballot)
+
+    def _expire_accepted(self, now: int) -> None:
+        if self.accepted_leader >= 0 and now >= self.accepted_until_ns:
+            self.accepted_leader = -1
+
+    # -- proposer --
+
+    def _on_reply(self, sender: int, message: ElectionMessage, now: int) -> None:
+        if message.kind is MessageKind.REJECT:
+            self.promised_ballot = max(self.promised_ballot, message.promised)  # the next ballot must be larger
+        current = self._round
+        if current is None or message.ballot != current.ballot or now >= self._round_deadline_ns(current):
+            return  # reply to a round that has ended
+        if message.kind is MessageKind.PROMISE and message.leader in (-1, self.me):
+            current.promised_by.add(sender)
+            if not current.proposed and self._is_majority(current.promised_by):
+                current.proposed = True
+                self._broadcast(ElectionMessage(MessageKind.PROPOSE, current.ballot), now)
+        elif message.kind is MessageKind.ACCEPT:
+            current.accepted_by.add(sender)
+            if self._is_majority(current.accepted_by):
                 self._round = None
-                self.held_ns = max(self.held_ns, self._held_until(ours))
-                self._ask_ns = ours.begun_ns + int(self.term_ns * EXTEND_PART)
+                self.lease_end_ns = max(self.lease_end_ns, self._lease_end(current))
+                self._next_round_ns = current.started_ns + int(self.term_ns * RENEW_FRACTION)
 
-    def _held_until(self, ours: Round) -> int:
-        """From before the first question, and shorter by what two clocks may differ."""
-        return ours.begun_ns + int(self.term_ns * (1 - DRIFT) / (1 + DRIFT))
+    def _lease_end(self, current: Round) -> int:
+        """Counted from before the first message, and shortened by the largest difference of two clock rates."""
+        return current.started_ns + int(self.term_ns * (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT))
 
-    def _given_up_ns(self, ours: Round) -> int:
-        return ours.begun_ns + int(self.term_ns * ROUND_PART)
+    def _round_deadline_ns(self, current: Round) -> int:
+        return current.started_ns + int(self.term_ns * ROUND_TIMEOUT_FRACTION)
 
-    def _most(self, seats: Iterable[int]) -> bool:
-        return 2 * len(set(seats)) > len(self.council)
+    def _is_majority(self, voters: Iterable[int]) -> bool:
+        return 2 * len(set(voters)) > len(self.council)
 
-    def _tell_all(self, word: Word, now: int) -> None:
-        self.out += [(seat, word) for seat in self.council if seat != self.me]
-        self._answer(self.me, word, now)
+    def _broadcast(self, message: ElectionMessage, now: int) -> None:
+        self.outbox += [(voter, message) for voter in self.council if voter != self.me]
+        self._handle(self.me, message, now)
 
-    def _pause_ns(self) -> int:
-        return int(self._rng.random() * WAIT_PART * self.term_ns)
+    def _random_delay_ns(self) -> int:
+        return int(self._rng.random() * MAX_DELAY_FRACTION * self.term_ns)
--- a/lanemux/fleet/election_wire.py
+++ b/lanemux/fleet/election_wire.py
@@ -1,33 +1,35 @@
-"""The form of what seats of the council tell one another (`fleet/election.py`). No I/O and no clock."""
+"""Encoding of the election messages between the council's voters (`fleet/election.py`). No I/O and no clock."""
 
 from __future__ import annotations
 
 import struct
 
-from lanemux.fleet.election import Ballot, Step, Word
-from lanemux.fleet.wire import MAGIC, NOBODY, VERSION, BadMessage
+from lanemux.fleet.election import Ballot, ElectionMessage, MessageKind
+from lanemux.fleet.wire import MAGIC, NO_MEMBER, VERSION, BadMessage
 
-FORM = struct.Struct(">BBBBHIHIIHI")  # no length that words between the decisions have
-KIND = 2  # the byte that tells which message of the fleet it is
+FORMAT = struct.Struct(">BBBBHIHIIHI")  # a length that no message of the decision modules (`core/words.py`) has
+KIND_OFFSET = 2  # offset of the byte that tells the kind of a fleet message
 
 
-def is_ballot(data: bytes) -> bool:
-    """Is this message of the fleet one between seats?"""
-    return len(data) > KIND and data[KIND] >= Step.PREPARE
+def is_election_message(data: bytes) -> bool:
+    """Whether this fleet message belongs to the election."""
+    return len(data) > KIND_OFFSET and data[KIND_OFFSET] >= MessageKind.PREPARE
 
 
-def written(word: Word) -> bytes:
-    """The datagram."""
-    leads = word.leads if word.leads >= 0 else NOBODY
-    return FORM.pack(MAGIC, VERSION, word.step, 0, leads, *word.ballot, *word.seen)
+def encode(message: ElectionMessage) -> bytes:
+    """Encode a message as a datagram."""
+    leader = message.leader if message.leader >= 0 else NO_MEMBER
+    return FORMAT.pack(MAGIC, VERSION, message.kind, 0, leader, *message.ballot, *message.promised)
 
 
-def read(data: bytes) -> Word:
-    """The word in a datagram; BadMessage with a reason for anything else."""
-    if len(data) != FORM.size or data[0] != MAGIC or data[1] != VERSION:
-        raise BadMessage(f"{len(data)} bytes are no word between seats")
-    _, _, step, _, leads, *numbers = FORM.unpack(data)
+def decode(data: bytes) -> ElectionMessage:
+    """Decode a datagram. Raises BadMessage with a reason if it is no election message."""
+    if len(data) != FORMAT.size or data[0] != MAGIC or data[1] != VERSION:
+        raise BadMessage(f"{len(data)} bytes are no election message")
+    _, _, kind, _, leader, *numbers = FORMAT.unpack(data)
     try:
-        return Word(Step(step), Ballot(*numbers[:3]), Ballot(*numbers[3:]), -1 if leads == NOBODY else leads)
+        return ElectionMessage(
+            MessageKind(kind), Ballot(*numbers[:3]), Ballot(*numbers[3:]), -1 if leader == NO_MEMBER else leader
+        )
     except ValueError as error:
         raise BadMessage(str(error)) from None
--- a/lanemux/fleet/leader_query.py
+++ b/lanemux/fleet/leader_query.py
@@ -1,10 +1,10 @@
-"""Who leads, for a balancer without a seat in the council: it asks, and believes no longer than is sure. No I/O and no
-clock.
+"""Finds the leader for a balancer that is no voter of the council, by querying the voters. No I/O and no clock.
 
-Only the leader's own word counts, "I lead, for so long yet", and it is reckoned from before the question and shorter by
-what clocks' rates may differ: a word that comes late says less, one that comes twice nothing more, and what is believed
-ends before the lease does. A seat that does not lead says whom it takes to lead, which only tells whom to ask next.
-One question is out at a time; the leader gets one or two of each balancer in a term.
+Only the leader's own answer counts: "I lead, for this much longer". That time is counted from before the query was sent
+and shortened by the largest difference of clock rates, so a late answer is worth less, a duplicate adds nothing, and
+the tracker's knowledge expires before the lease does. A voter that does not lead names the leader that it accepted,
+which only tells whom to query next. One query is outstanding at a time; the leader gets one or two queries of each
+balancer per term.
 """
 
 from __future__ import annotations
@@ -15,135 +15,140 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from lanemux.fleet.election import DRIFT, Seat
-from lanemux.fleet.wire import MAGIC, NOBODY, VERSION, BadMessage
+from lanemux.fleet.election import MAX_CLOCK_DRIFT, Voter
+from lanemux.fleet.wire import MAGIC, NO_MEMBER, VERSION, BadMessage
 
 MS = 1_000_000
-ANSWER_NS = 150 * MS  # an answer takes up to 66 ms on the platform's messages; then another seat is asked
-SPARE = 2  # so many questions may stay without an answer before what is believed ends
-PAUSE_PART = 0.3  # of a term at the most between finding that nobody leads, or no seat answers, and asking again
-# Magic, version, kind, nothing, question, leads, rest in ms, nothing: a length that words between decisions never have.
-FORM = struct.Struct(">BBBBIHIB")
-KIND = 2  # the byte that tells which message of the fleet it is
+ANSWER_TIMEOUT_NS = 150 * MS  # answers take up to 66 ms on the platform; then another voter is queried
+RENEWAL_ATTEMPTS = 2  # unanswered queries that fit in before the known lease expires
+MAX_PAUSE_FRACTION = 0.3  # of a term: bound of the random pause when nobody leads or no voter answers
+# Magic, version, kind, padding, query, leader, remaining ms, padding: a length that no message of the decision modules
+# (`core/words.py`) has.
+FORMAT = struct.Struct(">BBBBIHIB")
+KIND_OFFSET = 2  # offset of the byte that tells the kind of a fleet message
 
 
 class Kind(IntEnum):
-    """What a word is for. Beyond those of `wire` and of the seats."""
+    """Kinds of leader messages, numbered above those of `wire` and `election`."""
 
-    WHO = 32  # who leads?
-    TOLD = 33  # to the question of that number
+    QUERY = 32  # asks who leads
+    ANSWER = 33  # to the query of that number
 
 
-class Word(NamedTuple):
-    """One message between a balancer without a seat and one with one."""
+class LeaderMessage(NamedTuple):
+    """One message between a voter and a balancer that is none."""
 
     kind: Kind
-    question: int  # its number, modulo 2**32
-    leads: int = -1  # whom the seat takes to lead; its own number: it leads; -1: it knows of nobody
-    rest_ms: int = 0  # for so long yet, where it leads itself
+    query_id: int  # modulo 2**32
+    leader: int = -1  # as the voter knows it; its own number: it leads; -1: none known
+    remaining_ms: int = 0  # of the lease, if the voter itself leads
 
 
-def is_following(data: bytes) -> bool:
-    """Is this message of the fleet one of these?"""
-    return len(data) > KIND and data[KIND] >= Kind.WHO
+def is_leader_message(data: bytes) -> bool:
+    """Whether this fleet message is a leader query or an answer to one."""
+    return len(data) > KIND_OFFSET and data[KIND_OFFSET] >= Kind.QUERY
 
 
-def written(word: Word) -> bytes:
-    """The datagram."""
-    leads = word.leads if word.leads >= 0 else NOBODY
-    return FORM.pack(MAGIC, VERSION, word.kind, 0, word.question, leads, word.rest_ms, 0)
+def encode(message: LeaderMessage) -> bytes:
+    """Encode a message as a datagram."""
+    leader = message.leader if message.leader >= 0 else NO_MEMBER
+    return FORMAT.pack(MAGIC, VERSION, message.kind, 0, message.query_id, leader, message.remaining_ms, 0)
 
 
-def read(data: bytes) -> Word:
-    """The word in a datagram; BadMessage with a reason for anything else."""
-    if len(data) != FORM.size or data[0] != MAGIC or data[1] != VERSION:
-        raise BadMessage(f"{len(data)} bytes are no word on who leads")
-    _, _, kind, _, question, leads, rest_ms, _ = FORM.unpack(data)
+def decode(data: bytes) -> LeaderMessage:
+    """Decode a datagram. Raises BadMessage with a reason if it is no leader message."""
+    if len(data) != FORMAT.size or data[0] != MAGIC or data[1] != VERSION:
+        raise BadMessage(f"{len(data)} bytes are no leader message")
+    _, _, kind, _, query_id, leader, remaining_ms, _ = FORMAT.unpack(data)
     try:
-        return Word(Kind(kind), question, -1 if leads == NOBODY else leads, rest_ms)
+        return LeaderMessage(Kind(kind), query_id, -1 if leader == NO_MEMBER else leader, remaining_ms)
     except ValueError as error:
         raise BadMessage(str(error)) from None
 
 
-def answer(seat: Seat, asked: Word, now: int) -> Word:
-    """What a seat says to a question in this instant."""
-    if seat.leads(now):
-        return Word(Kind.TOLD, asked.question, seat.me, (seat.held_ns - now) // MS)
-    leader = seat.leader(now)
-    return Word(Kind.TOLD, asked.question, -1 if leader is None else leader)
+def answer_query(voter: Voter, query: LeaderMessage, now: int) -> LeaderMessage:
+    """A voter's answer to a query at `now`."""
+    if voter.is_leader(now):
+        return LeaderMessage(Kind.ANSWER, query.query_id, voter.me, (voter.lease_end_ns - now) // MS)
+    leader = voter.leader(now)
+    return LeaderMessage(Kind.ANSWER, query.query_id, -1 if leader is None else leader)
 
 
-class Follower:
-    """One balancer without a seat. Feed it words and ticks; send what `out` holds; ask `leader`."""
+class LeaderTracker:
+    """Tracks the leader for a balancer that is no voter. Feed it messages and ticks, send `outbox`, query `leader`."""
 
     def __init__(self, me: int, council: Sequence[int], term_ns: int, rng: random.Random, now: int) -> None:
-        """ValueError for a council that it sits in, or an empty one."""
+        """Raises ValueError if the council is empty or `me` is in it."""
         if me in council or not council:
-            raise ValueError(f"{me} and a council of {sorted(council)}: there must be one, without it")
+            raise ValueError(f"{me} must not be in the council {sorted(council)}, which must not be empty")
         self.council, self.term_ns, self._rng = tuple(council), term_ns, rng
-        self.out: list[tuple[int, Word]] = []
-        self._leader, self._until_ns = -1, now  # believed until then
-        self._question = rng.getrandbits(32)
-        self._asked_ns: int | None = None  # when the question that is out was asked; None: none is
-        self._order: list[int] = []  # whom to ask in this round
-        self._sent_on = 0  # seats in a row that named another
-        self._next_ns = now + self._pause_ns()
+        self.outbox: list[tuple[int, LeaderMessage]] = []
+        self._leader, self._valid_until_ns = -1, now  # -1: none; valid until that time
+        self._query_id = rng.getrandbits(32)
+        self._query_sent_ns: int | None = None  # of the outstanding query; None: there is none
+        self._order: list[int] = []  # voters still to query in this round
+        self._redirects = 0  # answers in a row that named another voter
+        self._next_query_ns = now + self._random_pause_ns()
 
     def leader(self, now: int) -> int | None:
-        """Who surely leads in this instant, unless it has ended in order; None: not known."""
-        return self._leader if now < self._until_ns else None
+        """The leader, whose lease is still valid unless it shut down in order; None: not known."""
+        return self._leader if now < self._valid_until_ns else None
 
     @property
     def due_ns(self) -> int:
-        """When it wants its next tick."""
-        return self._next_ns if self._asked_ns is None else self._asked_ns + ANSWER_NS
+        """When the next tick is needed."""
+        return self._next_query_ns if self._query_sent_ns is None else self._query_sent_ns + ANSWER_TIMEOUT_NS
 
     def tick(self, now: int) -> None:
-        """Time has come to `now`."""
-        if self._asked_ns is not None and now >= self._asked_ns + ANSWER_NS:
-            self._asked_ns = None
+        """Advance to `now`."""
+        if self._query_sent_ns is not None and now >= self._query_sent_ns + ANSWER_TIMEOUT_NS:
+            self._query_sent_ns = None
             if self._order:
-                self._ask(self._seat(), now)  # that one has not answered: another may
-            else:  # none has: a council that comes back must not find all of the fleet at its door
-                self._next_ns = now + self._pause_ns()
-        elif self._asked_ns is None and now >= self._next_ns:
+                self._send_query(self._next_voter(), now)  # no answer from that voter: try another
+            else:  # none answered: pause, so that the whole fleet does not flood a returning council
+                self._next_query_ns = now + self._random_pause_ns()
+        elif self._query_sent_ns is None and now >= self._next_query_ns:
             leader = self.leader(now)
-            self._ask(self._seat() if leader is None else leader, now)
+            self._send_query(self._next_voter() if leader is None else leader, now)
 
-    def heard(self, sender: int, word: Word, now: int) -> None:
-        """A word of a seat; of anybody else, or to another question than the one that is out, it counts for nothing."""
-        begun_ns = self._asked_ns
+    def receive(self, sender: int, message: LeaderMessage, now: int) -> None:
+        """Handle a voter's answer. Messages of others, and answers to any but the outstanding query, are ignored."""
+        sent_ns = self._query_sent_ns
         if (
             sender not in self.council
-            or word.kind is not Kind.TOLD
-            or word.question != self._question
-            or begun_ns is None
+            or message.kind is not Kind.ANSWER
+            or message.query_id != self._query_id
+            or sent_ns is None
         ):
             return
-        self._asked_ns = None
-        if word.leads == sender:
+        self._query_sent_ns = None
+        if message.leader == sender:
             self._leader = sender
-            self._until_ns = begun_ns + int(word.rest_ms * MS * (1 - DRIFT) / (1 + DRIFT))
-            self._sent_on = 0
-            self._next_ns = max(now + ANSWER_NS, self._until_ns - SPARE * ANSWER_NS)
-        elif word.leads in self.council and self._sent_on < len(self.council):
-            self._sent_on += 1  # two that name one another are not asked in turns for ever
-            self._ask(word.leads, now)
+            self._valid_until_ns = sent_ns + int(
+                message.remaining_ms * MS * (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)
+            )
+            self._redirects = 0
+            self._next_query_ns = max(
+                now + ANSWER_TIMEOUT_NS, self._valid_until_ns - RENEWAL_ATTEMPTS * ANSWER_TIMEOUT_NS
+            )
+        elif message.leader in self.council and self._redirects < len(self.council):
+            self._redirects += 1  # bounded: two voters may name one another
+            self._send_query(message.leader, now)
         else:
-            self._sent_on = 0
-            self._next_ns = now + ANSWER_NS + self._pause_ns()
+            self._redirects = 0
+            self._next_query_ns = now + ANSWER_TIMEOUT_NS + self._random_pause_ns()
 
-    def _ask(self, seat: int, now: int) -> None:
-        self._question = (self._question + 1) % 2**32
-        self._asked_ns = now
-        self.out.append((seat, Word(Kind.WHO, self._question)))
+    def _send_query(self, voter: int, now: int) -> None:
+        self._query_id = (self._query_id + 1) % 2**32
+        self._query_sent_ns = now
+        self.outbox.append((voter, LeaderMessage(Kind.QUERY, self._query_id)))
 
-    def _seat(self) -> int:
-        """Each in turn, in an order drawn anew for each round."""
+    def _next_voter(self) -> int:
+        """Each voter in turn, in an order shuffled anew for each round."""
         if not self._order:
             self._order = list(self.council)
             self._rng.shuffle(self._order)
         return self._order.pop()
 
-    def _pause_ns(self) -> int:
-        return int(self._rng.random() * PAUSE_PART * self.term_ns)
+    def _random_pause_ns(self) -> int:
+        return int(self._rng.random() * MAX_PAUSE_FRACTION * self.term_ns)
--- a/lanemux/fleet/members.py
+++ b/lanemux/fleet/members.py
@@ -1,10 +1,10 @@
-"""Who is there: SWIM with Lifeguard's care, as a state machine. No I/O and no clock.
+"""Fleet membership: SWIM with the extensions of Lifeguard, as a state machine. No I/O and no clock.
 
 After A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (DSN 2002), and A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More Accurate
-Failure Detection" (DSN-W 2018). What each knows of another is one pair, (incarnation, standing), and the larger pair
-holds: words may come late, twice and in any order, and all end with the same table. Only a member raises its own
-incarnation.
+Failure Detection" (DSN-W 2018). What each balancer knows of another is one pair, (incarnation, status), and the larger
+pair takes precedence: updates may come late, twice and in any order, and all tables converge. Only a member raises its
+own incarnation.
 """
 
 from __future__ import annotations
@@ -18,36 +18,37 @@
 from lanemux.fleet.wire import (
     MAX_INCARNATION,
     MAX_NUMBER,
-    MOST_NEWS,
-    NOBODY,
+    MAX_UPDATES,
+    NO_MEMBER,
     BadMessage,
     Kind,
     Message,
-    News,
     Status,
-    read,
+    Update,
+    decode,
 )
 
 MS = 1_000_000
-PERIOD_NS = 500 * MS  # between two looks of one member: with three or so messages each, some 2 kB a second
-ANSWER_NS = 150 * MS  # an answer takes up to 66 ms on the platform's messages; then others are asked to look
-HELPERS = 3  # that look for one who does not answer
-TOLD_AT_ONCE = 6  # to whom it says that it leaves, or that it is there after all
-LEAST_SUSPICION, MOST_SUSPICION = 5.0, 3.0  # periods by the decimal logarithm of the fleet; times that, unconfirmed
-CONFIRMED = 3  # others that suspect the same one, at which suspicion is shortest
-RETOLD = 3  # times the binary logarithm of the fleet that a piece of news is told on
-ILL_MOST = 8  # Lifeguard's bound on how far a member that is itself slow stretches its times
-TABLE_EVERY = 16  # periods between two questions for another's table: what was missed is made good
-GONE_EVERY = 8  # looks of which one goes to who is gone: both sides of a cut find each other again
-STOOD_NS = 250 * MS  # a tick so late: this process itself stood still, and nobody's silence counts
+PERIOD_NS = 500 * MS  # between two probes of one member: with about three messages each, some 2 kB/s
+ANSWER_TIMEOUT_NS = 150 * MS  # answers take up to 66 ms on the platform; then come indirect probes
+MAX_HELPERS = 3  # members that are asked to probe one that does not answer
+ANNOUNCE_FANOUT = 6  # members that are told at once of a leave or a refuted suspicion
+# Shortest suspicion: so many periods times log10 of the fleet's size; unconfirmed it lasts longer by the factor.
+MIN_SUSPICION_PERIODS, MAX_SUSPICION_FACTOR = 5.0, 3.0
+MAX_CONFIRMATIONS = 3  # members suspecting the same one, at which the suspicion is shortest
+RETRANSMIT_FACTOR = 3  # times log2 of the fleet's size: how often an update is passed on
+MAX_SLOWNESS = 8  # Lifeguard's bound on how far a slow process stretches its own timeouts
+SYNC_EVERY = 16  # periods between two exchanges of tables, which repair missed updates
+GONE_PROBE_EVERY = 8  # of so many probes one goes to a member that is gone: heals a network partition
+STANDSTILL_NS = 250 * MS  # a tick this late: the process itself was suspended, and missing answers do not count
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Another standing of one member, for whoever asks."""
+    """A change of one member's status, for the owner to read."""
 
     number: int
-    standing: Status
+    status: Status
     incarnation: int
 
 
@@ -56,307 +57,327 @@
     """What is known of one balancer."""
 
     number: int
-    standing: Status = Status.UP  # those that the configuration names are taken to be there until looked at
+    status: Status = Status.UP  # configured members count as up until they are probed
     incarnation: int = 0
-    by: int = NOBODY
-    told: int = 10**6  # how often this was told on; news begin at 0
+    reporter: int = NO_MEMBER
+    transmissions: int = 10**6  # how often the update was passed on; a new one starts at 0
     suspected_ns: int = 0
-    doubters: set[int] = field(default_factory=set)  # others who suspect it, CONFIRMED at the most
+    suspected_by: set[int] = field(default_factory=set)  # MAX_CONFIRMATIONS at most
 
     @property
-    def word(self) -> tuple[int, int]:
-        return self.incarnation, self.standing
+    def version(self) -> tuple[int, int]:
+        return self.incarnation, self.status
 
 
 @dataclass(slots=True)
-class Look:
-    """One question that is out."""
+class Probe:
+    """The outstanding probe of one member."""
 
     number: int
-    question: int
-    asked_ns: int
-    until_ns: int
-    helped: bool = False
-    silent: int = 0  # helpers that answered for themselves
+    sequence: int
+    sent_ns: int
+    deadline_ns: int
+    indirect: bool = False
+    nacks: int = 0  # helpers that are alive but got no answer either
     helpers: int = 0
 
 
 class Members:
-    """One balancer's view. Feed it messages and ticks; send what `out` holds, and read `changes`."""
+    """One balancer's view. Feed it messages and ticks, send what is in `outbox`, and read `changes`."""
 
     def __init__(self, me: int, count: int, rng: random.Random, now: int, incarnation: int = 0) -> None:
-        """`count`: balancers that the configuration names, numbered from 0; `incarnation`: the last one known of its
-        own, 0: none, and the others tell. ValueError for numbers that the messages have no room for."""
+        """`count`: configured balancers, numbered from 0; `incarnation`: its own last known one, or 0 if it has to be
+        learned from the others. Raises ValueError for numbers that do not fit in the messages."""
         if not 0 <= me < count <= MAX_NUMBER + 1:
             raise ValueError(f"number {me} of {count} balancers: allowed are 1 to {MAX_NUMBER + 1}")
         self.me, self.count, self._rng = me, count, rng
         self.incarnation = min(incarnation + 1, MAX_INCARNATION) if incarnation else 0
-        self.boot = rng.getrandbits(32)
+        self.boot_id = rng.getrandbits(32)
         self.members = {n: Member(n) for n in range(count) if n != me}
-        self.ill = 0  # Lifeguard: how slow this process itself seems to be, 0 to ILL_MOST
-        self.bad = 0  # messages that could not be read
+        self.slowness = 0  # Lifeguard's local health: how slow this process itself seems, 0 to MAX_SLOWNESS
+        self.unreadable = 0  # messages that could not be decoded or came from an unknown sender
         self.leaving = False
-        self.out: list[tuple[int, bytes]] = []  # (member, datagram)
+        self.outbox: list[tuple[int, bytes]] = []  # (member, datagram)
         self.changes: list[Change] = []
-        self._retold = RETOLD * math.ceil(math.log2(count + 1))
-        self._order: list[int] = []  # whom to look at in this round
-        self._look: Look | None = None
-        self._for_others: dict[int, tuple[int, int, int, int]] = {}  # question: (asker, its question, whom, until)
-        self._question = rng.getrandbits(16)
-        self._looks = 0
-        self._fresh: dict[int, None] = {}  # whose news are still told on
-        self._doubted: dict[int, None] = {}  # who is suspected
-        self._next_ns = now + int(rng.random() * PERIOD_NS)
-        self._table_from = 0
-
-    # -- what is asked of it --
+        self._max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log2(count + 1))
+        self._order: list[int] = []  # members still to probe in this round
+        self._probe: Probe | None = None
+        self._relayed_probes: dict[int, tuple[int, int, int, int]] = {}  # (asker, its sequence, target, deadline)
+        self._sequence = rng.getrandbits(16)
+        self._probe_count = 0
+        self._gossip_queue: dict[int, None] = {}  # members whose updates are still to be passed on, as an ordered set
+        self._suspects: dict[int, None] = {}  # ordered set
+        self._next_probe_ns = now + int(rng.random() * PERIOD_NS)
+        self._sync_start = 0
+
+    # -- queries and inputs --
 
     @property
     def due_ns(self) -> int:
-        """When it wants its next tick."""
-        doubted = [self._ends_ns(self.members[n]) for n in self._doubted]
-        return min([self._own_due_ns, *doubted, *(until for *_, until in self._for_others.values())])
+        """When the next tick is needed."""
+        suspicion_ends = [self._suspicion_end_ns(self.members[n]) for n in self._suspects]
+        return min(
+            [self._probe_due_ns, *suspicion_ends, *(deadline_ns for *_, deadline_ns in self._relayed_probes.values())]
+        )
 
     @property
-    def _own_due_ns(self) -> int:
-        """When its own look or period wants it: no word of others moves that into the past."""
-        look = self._look
-        if look is None:
-            return self._next_ns
-        return min(self._next_ns, look.until_ns if look.helped else look.asked_ns + self._patience_ns)
-
-    def up(self) -> list[int]:
-        """The numbers of those that count as there, this one included."""
-        there = [m.number for m in self.members.values() if m.standing <= Status.SUSPECTED]
-        return sorted([*there, self.me])
+    def _probe_due_ns(self) -> int:
+        """When its own probe or period is due. No message of others moves that into the past."""
+        probe = self._probe
+        if probe is None:
+            return self._next_probe_ns
+        return min(
+            self._next_probe_ns, probe.deadline_ns if probe.indirect else probe.sent_ns + self._answer_timeout_ns
+        )
+
+    def alive(self) -> list[int]:
+        """Numbers of the members that count as alive, this one included."""
+        numbers = [m.number for m in self.members.values() if m.status <= Status.SUSPECTED]
+        return sorted([*numbers, self.me])
 
     def tick(self, now: int) -> None:
-        """Time has come to `now`."""
-        late = now - self._own_due_ns
-        if late > STOOD_NS:
-            self._stood(late, now)
-        if self._look is not None:
-            self._go_on(self._look, now)
-        for number in [n for n in self._doubted if now >= self._ends_ns(self.members[n])]:
+        """Advance to `now`."""
+        late = now - self._probe_due_ns
+        if late > STANDSTILL_NS:
+            self._on_standstill(late, now)
+        if self._probe is not None:
+            self._check_probe(self._probe, now)
+        for number in [n for n in self._suspects if now >= self._suspicion_end_ns(self.members[n])]:
             member = self.members[number]
-            self._take(News(number, Status.GONE, member.incarnation, self.me), now)
-        for question, (asker, theirs, whom, until) in list(self._for_others.items()):
-            if now >= until:
-                del self._for_others[question]
-                self._send(asker, Kind.SILENT, theirs, whom)
-        if now >= self._next_ns:
-            self._next_ns = now + PERIOD_NS * (1 + self.ill)
-            self._begin(now)
+            self._apply(Update(number, Status.GONE, member.incarnation, self.me), now)
+        for sequence, (asker, asker_sequence, target, deadline_ns) in list(self._relayed_probes.items()):
+            if now >= deadline_ns:
+                del self._relayed_probes[sequence]
+                self._send(asker, Kind.NACK, asker_sequence, target)
+        if now >= self._next_probe_ns:
+            self._next_probe_ns = now + PERIOD_NS * (1 + self.slowness)
+            self._start_probe(now)
 
     def leave(self) -> None:
-        """It ends in order: tells a few, who tell the others."""
+        """Orderly shutdown: tell a few members, which pass it on."""
         self.leaving = True
-        self._tell_some()
+        self._announce()
 
-    def heard(self, sender: int, data: bytes, now: int) -> None:
-        """A peer's datagram; what is no message on who is there only counts."""
+    def receive(self, sender: int, data: bytes, now: int) -> None:
+        """Handle a peer's datagram; one that is no membership message is only counted."""
         try:
-            message = read(data)
+            message = decode(data)
         except BadMessage:
-            self.bad += 1
+            self.unreadable += 1
             return
         member = self.members.get(sender)
         if member is None:
-            self.bad += 1
+            self.unreadable += 1
             return
-        if (message.incarnation, Status.UP) > member.word:
-            self._take(News(sender, Status.UP, message.incarnation, sender), now)
-        self._about_me(message.you, message.your_incarnation)
-        for news in message.news:
-            if news.number == self.me:
-                self._about_me(news.standing, news.incarnation)
-            elif news.number in self.members:
-                self._take(news, now)
-        self._answer(sender, message, now)
-
-    # -- looks --
+        if (message.incarnation, Status.UP) > member.version:
+            self._apply(Update(sender, Status.UP, message.incarnation, sender), now)
+        self._refute(message.receiver_status, message.receiver_incarnation)
+        for update in message.updates:
+            if update.number == self.me:
+                self._refute(update.status, update.incarnation)
+            elif update.number in self.members:
+                self._apply(update, now)
+        self._respond(sender, message, now)
+
+    # -- probes --
 
     @property
-    def _patience_ns(self) -> int:
-        return ANSWER_NS * (1 + self.ill)
-
-    def _begin(self, now: int) -> None:
-        """The next look, and now and then another's table."""
-        if self._look is not None:  # its time is up with the period's
-            self._missed(self._look, now)
-        self._looks += 1
-        number = self._next()
+    def _answer_timeout_ns(self) -> int:
+        return ANSWER_TIMEOUT_NS * (1 + self.slowness)
+
+    def _start_probe(self, now: int) -> None:
+        """Start the next probe and, every SYNC_EVERY probes, an exchange of tables."""
+        if self._probe is not None:  # it ends with its period
+            self._fail_probe(self._probe, now)
+        self._probe_count += 1
+        number = self._next_target()
         if number is None:
             return
-        self._question = (self._question + 1) % 2**16
-        self._look = Look(number, self._question, now, self._next_ns)
-        self._send(number, Kind.ASK, self._question)
-        if self._looks % TABLE_EVERY == 1 and (others := self._some(1, ())):
-            self._send(others[0], Kind.TABLE, 0, self._table_from, self._table(self._table_from))
-            self._table_from = self._rng.randrange(self.count)
-
-    def _next(self) -> int | None:
-        """Each in turn, in an order drawn anew for each round; now and then one that is gone."""
-        if self._looks % GONE_EVERY == 0:
-            gone = [m.number for m in self.members.values() if m.standing is Status.GONE]
+        self._sequence = (self._sequence + 1) % 2**16
+        self._probe = Probe(number, self._sequence, now, self._next_probe_ns)
+        self._send(number, Kind.PING, self._sequence)
+        if self._probe_count % SYNC_EVERY == 1 and (others := self._random_members(1, ())):
+            self._send(others[0], Kind.SYNC, 0, self._sync_start, self._table_updates(self._sync_start))
+            self._sync_start = self._rng.randrange(self.count)
+
+    def _next_target(self) -> int | None:
+        """Each member in turn, in an order shuffled for each round; every GONE_PROBE_EVERY probes one that is gone."""
+        if self._probe_count % GONE_PROBE_EVERY == 0:
+            gone = [m.number for m in self.members.values() if m.status is Status.GONE]
             if gone:
                 return self._rng.choice(gone)
         for _ in range(2):
             while self._order:
                 number = self._order.pop()
-                if self.members[number].standing <= Status.SUSPECTED:
+                if self.members[number].status <= Status.SUSPECTED:
                     return number
             self._order = list(self.members)
             self._rng.shuffle(self._order)
         return self._rng.choice(self._order) if self._order else None
 
-    def _go_on(self, look: Look, now: int) -> None:
-        """An answer that is late: others look too; one that did not come by the end of the period is missed."""
-        if now >= look.until_ns:
-            self._missed(look, now)
-        elif not look.helped and now >= look.asked_ns + self._patience_ns:
-            look.helped = True
-            helpers = self._some(HELPERS, (look.number,))
-            look.helpers = len(helpers)
+    def _check_probe(self, probe: Probe, now: int) -> None:
+        """Start indirect probes if the answer is late; fail the probe if there is none by the end of the period."""
+        if now >= probe.deadline_ns:
+            self._fail_probe(probe, now)
+        elif not probe.indirect and now >= probe.sent_ns + self._answer_timeout_ns:
+            probe.indirect = True
+            helpers = self._random_members(MAX_HELPERS, (probe.number,))
+            probe.helpers = len(helpers)
             for helper in helpers:
-                self._send(helper, Kind.ASK_FOR_ME, look.question, look.number)
-
-    def _missed(self, look: Look, now: int) -> None:
-        self._look = None
-        if look.helpers and not look.silent:
-            self._feel(1)  # not even the helpers were heard: it may be this process
-        member = self.members[look.number]
-        if member.standing <= Status.SUSPECTED:
-            self._take(News(look.number, Status.SUSPECTED, member.incarnation, self.me), now)
-
-    def _answer(self, sender: int, message: Message, now: int) -> None:
-        look = self._look
-        if message.kind is Kind.ASK:
-            self._send(sender, Kind.HERE, message.question)
-        elif message.kind is Kind.HERE:
-            if look is not None and (look.number, look.question) == (sender, message.question):
-                self._look = None
-                self._feel(-1)
-            wanted = self._for_others.get(message.question)
-            if wanted is not None and wanted[2] == sender:
-                del self._for_others[message.question]
-                self._send(wanted[0], Kind.HERE_TOO, wanted[1], sender)
-        elif message.kind is Kind.ASK_FOR_ME and message.about in self.members:
-            if len(self._for_others) < self.count:  # one look of each at a time
-                self._question = (self._question + 1) % 2**16
-                self._for_others[self._question] = (sender, message.question, message.about, now + ANSWER_NS)
-                self._send(message.about, Kind.ASK, self._question)
-        elif message.kind is Kind.HERE_TOO:
-            if look is not None and (look.number, look.question) == (message.about, message.question):
-                self._look = None
-        elif message.kind is Kind.SILENT:
-            if look is not None and (look.number, look.question) == (message.about, message.question):
-                look.silent += 1
-        elif message.kind is Kind.TABLE:
-            self._send(sender, Kind.HERE, 0, NOBODY, self._table(message.about))
-
-    # -- what is known --
-
-    def _take(self, news: News, now: int) -> None:
-        """A word on another member: the larger pair holds; one more who suspects shortens the wait."""
-        member = self.members[news.number]
-        if (news.incarnation, news.standing) < member.word:
+                self._send(helper, Kind.PING_REQUEST, probe.sequence, probe.number)
+
+    def _fail_probe(self, probe: Probe, now: int) -> None:
+        self._probe = None
+        if probe.helpers and not probe.nacks:
+            self._adjust_slowness(1)  # not even the helpers answered: this process may be the slow one
+        member = self.members[probe.number]
+        if member.status <= Status.SUSPECTED:
+            self._apply(Update(probe.number, Status.SUSPECTED, member.incarnation, self.me), now)
+
+    def _respond(self, sender: int, message: Message, now: int) -> None:
+        probe = self._probe
+        if message.kind is Kind.PING:
+            self._send(sender, Kind.ACK, message.sequence)
+        elif message.kind is Kind.ACK:
+            if probe is not None and (probe.number, probe.sequence) == (sender, message.sequence):
+                self._probe = None
+                self._adjust_slowness(-1)
+            relayed = self._relayed_probes.get(message.sequence)
+            if relayed is not None and relayed[2] == sender:
+                del self._relayed_probes[message.sequence]
+                self._send(relayed[0], Kind.INDIRECT_ACK, relayed[1], sender)
+        elif message.kind is Kind.PING_REQUEST and message.subject in self.members:
+            if len(self._relayed_probes) < self.count:  # at most one probe per member at a time
+                self._sequence = (self._sequence + 1) % 2**16
+                self._relayed_probes[self._sequence] = (
+                    sender,
+                    message.sequence,
+                    message.subject,
+                    now + ANSWER_TIMEOUT_NS,
+                )
+                self._send(message.subject, Kind.PING, self._sequence)
+        elif message.kind is Kind.INDIRECT_ACK:
+            if probe is not None and (probe.number, probe.sequence) == (message.subject, message.sequence):
+                self._probe = None
+        elif message.kind is Kind.NACK:
+            if probe is not None and (probe.number, probe.sequence) == (message.subject, message.sequence):
+                probe.nacks += 1
+        elif message.kind is Kind.SYNC:
+            self._send(sender, Kind.ACK, 0, NO_MEMBER, self._table_updates(message.subject))
+
+    # -- table --
+
+    def _apply(self, update: Update, now: int) -> None:
+        """Apply an update on another member: the larger pair wins; each further suspecting member shortens the wait."""
+        member = self.members[update.number]
+        if (update.incarnation, update.status) < member.version:
             return
-        if (news.incarnation, news.standing) == member.word:
+        if (update.incarnation, update.status) == member.version:
             if (
-                news.standing is Status.SUSPECTED
-                and news.by not in member.doubters
-                and len(member.doubters) < CONFIRMED
+                update.status is Status.SUSPECTED
+                and update.reporter not in member.suspected_by
+                and len(member.suspected_by) < MAX_CONFIRMATIONS
             ):
-                member.doubters.add(news.by)
-                self._spread(member)
+                member.suspected_by.add(update.reporter)
+                self._queue_update(member)
             return
-        before = member.standing
-        member.standing, member.incarnation, member.by = news.standing, news.incarnation, news.by
-        self._doubted.pop(news.number, None)
-        member.doubters.clear()
-        if news.standing is Status.SUSPECTED:
+        before = member.status
+        member.status, member.incarnation, member.reporter = update.status, update.incarnation, update.reporter
+        self._suspects.pop(update.number, None)
+        member.suspected_by.clear()
+        if update.status is Status.SUSPECTED:
             member.suspected_ns = now
-            member.doubters.add(news.by)
-            self._doubted[news.number] = None
-        self._spread(member)
-        if member.standing is not before:
-            self.changes.append(Change(member.number, member.standing, member.incarnation))
-
-    def _about_me(self, standing: Status, incarnation: int) -> None:
-        """Who says that this one is not there is answered with a later incarnation; so is word of a former life."""
-        if self.leaving or incarnation < self.incarnation or (incarnation, standing) == (self.incarnation, Status.UP):
+            member.suspected_by.add(update.reporter)
+            self._suspects[update.number] = None
+        self._queue_update(member)
+        if member.status is not before:
+            self.changes.append(Change(member.number, member.status, member.incarnation))
+
+    def _refute(self, status: Status, incarnation: int) -> None:
+        """Refute claims that this balancer is not up with a higher incarnation, also those about an earlier process."""
+        if self.leaving or incarnation < self.incarnation or (incarnation, status) == (self.incarnation, Status.UP):
             return
-        if standing is not Status.UP and incarnation == self.incarnation:
-            self._feel(1)
-        if standing is Status.UP:
-            self.incarnation = incarnation  # of a former life, or of another process of this balancer
+        if status is not Status.UP and incarnation == self.incarnation:
+            self._adjust_slowness(1)
+        if status is Status.UP:
+            self.incarnation = incarnation  # of an earlier or another process of this balancer
             return
         self.incarnation = min(incarnation + 1, MAX_INCARNATION)
-        self._tell_some()  # those who suspect it count the time
-
-    def _ends_ns(self, member: Member) -> int:
-        """When a suspected one is taken to be gone: the sooner, the more others suspect it too."""
-        least = LEAST_SUSPICION * max(1.0, math.log10(self.count)) * PERIOD_NS
-        most = MOST_SUSPICION * least
-        confirmed = math.log(len(member.doubters)) / math.log(CONFIRMED) if member.doubters else 0.0
-        return member.suspected_ns + int(max(least, most - (most - least) * confirmed))
-
-    def _stood(self, for_ns: int, now: int) -> None:
-        """This process stood still: nobody's silence in that time says anything."""
-        self._look = None
-        self._for_others.clear()
-        for number in self._doubted:
-            self.members[number].suspected_ns += for_ns
-        self._feel(1)
-        self._next_ns = max(self._next_ns, now)
-
-    def _feel(self, change: int) -> None:
-        self.ill = max(0, min(ILL_MOST, self.ill + change))
-
-    # -- what is told --
-
-    def _spread(self, member: Member) -> None:
-        member.told = 0
-        self._fresh.pop(member.number, None)
-        self._fresh[member.number] = None
-
-    def _some(self, most: int, but: Iterable[int]) -> list[int]:
-        """So many of those that are up, by chance."""
-        up = [m.number for m in self.members.values() if m.standing is Status.UP and m.number not in but]
-        return self._rng.sample(up, min(most, len(up)))
-
-    def _tell_some(self) -> None:
-        for number in self._some(TOLD_AT_ONCE, ()):
-            self._send(number, Kind.HERE, 0)
-
-    def _table(self, first: int) -> tuple[News, ...]:
-        """What differs from the beginning, from a number on and round."""
-        found = []
+        self._announce()  # at once: those who suspect it have a timer running
+
+    def _suspicion_end_ns(self, member: Member) -> int:
+        """When a suspected member counts as gone: the sooner, the more members suspect it."""
+        shortest = MIN_SUSPICION_PERIODS * max(1.0, math.log10(self.count)) * PERIOD_NS
+        longest = MAX_SUSPICION_FACTOR * shortest
+        confirmation_ratio = (
+            math.log(len(member.suspected_by)) / math.log(MAX_CONFIRMATIONS) if member.suspected_by else 0.0
+        )
+        return member.suspected_ns + int(max(shortest, longest - (longest - shortest) * confirmation_ratio))
+
+    def _on_standstill(self, duration_ns: int, now: int) -> None:
+        """This process was suspended: answers missing in that time say nothing about others."""
+        self._probe = None
+        self._relayed_probes.clear()
+        for number in self._suspects:
+            self.members[number].suspected_ns += duration_ns
+        self._adjust_slowness(1)
+        self._next_probe_ns = max(self._next_probe_ns, now)
+
+    def _adjust_slowness(self, change: int) -> None:
+        self.slowness = max(0, min(MAX_SLOWNESS, self.slowness + change))
+
+    # -- sending --
+
+    def _queue_update(self, member: Member) -> None:
+        member.transmissions = 0
+        self._gossip_queue.pop(member.number, None)
+        self._gossip_queue[member.number] = None
+
+    def _random_members(self, limit: int, exclude: Iterable[int]) -> list[int]:
+        """At most `limit` random members that are up."""
+        alive = [m.number for m in self.members.values() if m.status is Status.UP and m.number not in exclude]
+        return self._rng.sample(alive, min(limit, len(alive)))
+
+    def _announce(self) -> None:
+        for number in self._random_members(ANNOUNCE_FANOUT, ()):
+            self._send(number, Kind.ACK, 0)
+
+    def _table_updates(self, start: int) -> tuple[Update, ...]:
+        """Members that differ from their initial state, from number `start` on, wrapping around."""
+        updates = []
         for i in range(self.count):
-            member = self.members.get((first + i) % self.count)
-            if member is not None and member.word != (0, Status.UP):
-                found.append(News(member.number, member.standing, member.incarnation, member.by))
-                if len(found) == MOST_NEWS:
+            member = self.members.get((start + i) % self.count)
+            if member is not None and member.version != (0, Status.UP):
+                updates.append(Update(member.number, member.status, member.incarnation, member.reporter))
+                if len(updates) == MAX_UPDATES:
                     break
-        return tuple(found)
+        return tuple(updates)
 
-    def _send(self, to: int, kind: Kind, question: int, about: int = NOBODY, news: tuple[News, ...] = ()) -> None:
-        member, told = self.members[to], list(news)
+    def _send(
+        self, to: int, kind: Kind, sequence: int, subject: int = NO_MEMBER, updates: tuple[Update, ...] = ()
+    ) -> None:
+        member, included = self.members[to], list(updates)
         if self.leaving:
-            told = [News(self.me, Status.LEAVING, self.incarnation, self.me), *told][:MOST_NEWS]
-        for number in list(islice(self._fresh, MOST_NEWS - len(told))):
+            included = [Update(self.me, Status.LEAVING, self.incarnation, self.me), *included][:MAX_UPDATES]
+        for number in list(islice(self._gossip_queue, MAX_UPDATES - len(included))):
             other = self.members[number]
-            told.append(News(number, other.standing, other.incarnation, other.by))
-            other.told += 1
-            del self._fresh[number]
-            if other.told < self._retold:
-                self._fresh[number] = None  # behind those that have waited longer
-        self.out.append(
+            included.append(Update(number, other.status, other.incarnation, other.reporter))
+            other.transmissions += 1
+            del self._gossip_queue[number]
+            if other.transmissions < self._max_transmissions:
+                self._gossip_queue[number] = None  # re-queued behind those that have waited longer
+        self.outbox.append(
             (
                 to,
                 Message(
-                    kind, self.boot, self.incarnation, member.standing, member.incarnation, question, about, tuple(told)
-                ).data(),
+                    kind,
+                    self.boot_id,
+                    self.incarnation,
+                    member.status,
+                    member.incarnation,
+                    sequence,
+                    subject,
+                    tuple(included),
+                ).encode(),
             )
         )
--- a/lanemux/fleet/setup.py
+++ b/lanemux/fleet/setup.py
@@ -1,4 +1,4 @@
-"""Adds the plugin that tells who is there to a balancer, where the operators' file has [fleet]."""
+"""Adds the fleet plugin to a balancer if the operators' file has a [fleet] section."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 
 from lanemux.core.clock import now_ns
-from lanemux.fleet.view import View
+from lanemux.fleet.view import FleetPlugin
 from lanemux.net.config import Config
 from lanemux.net.node import Node
 from lanemux.operators import Fleet
@@ -17,12 +17,12 @@
 
 
 def config_errors(fleet: Fleet, config: Config) -> list[str]:
-    """What of the section does not fit the configuration: key and reason."""
-    strange = [number for number in fleet.council if number >= len(config.peers)]
+    """Errors of the section with regard to the configuration, each with its key and a reason."""
+    unknown = [number for number in fleet.council if number >= len(config.peers)]
     return (
         [
             f"fleet.council: {number} is no number in peers; allowed are 0 to {len(config.peers) - 1}"
-            for number in strange
+            for number in unknown
         ]
         if config.peers
         else []
@@ -30,10 +30,12 @@
 
 
 def add_membership(node: Node, fleet: Fleet) -> None:
-    """Before the node starts. Without peers there is nobody to look at: that is logged, and nothing is plugged in."""
+    """Add the plugin; to be called before the node starts. Without peers it logs a warning and adds nothing."""
     config = node.config
     if config.peer_listen is None or len(config.peers) < 2:
         log.warning("%s: [fleet] is without effect: the configuration names no peers", config.name)
         return
-    rng = random.Random(f"{config.seed} {now_ns()}")  # each process is another one, also of the same balancer
-    node.plugins.add(View(config.settings.me, len(config.peers), rng, now_ns(), fleet.council, fleet.lease_ms * MS))
+    rng = random.Random(f"{config.seed} {now_ns()}")  # differs for each process, also of the same balancer
+    node.plugins.add(
+        FleetPlugin(config.settings.me, len(config.peers), rng, now_ns(), fleet.council, fleet.lease_ms * MS)
+    )
--- a/lanemux/fleet/view.py
+++ b/lanemux/fleet/view.py
@@ -1,4 +1,4 @@
-"""Who is there and who leads, as a plugin of a running balancer: logged and shown. No I/O and no clock."""
+"""Fleet membership and leader as a plugin of a running balancer: logged and reported. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import TypeVar
 
 from lanemux.fleet import election_wire, leader_query
-from lanemux.fleet.election import Seat
-from lanemux.fleet.leader_query import Follower, is_following
+from lanemux.fleet.election import Voter
+from lanemux.fleet.leader_query import LeaderTracker, is_leader_message
 from lanemux.fleet.members import Members
 from lanemux.fleet.wire import MAGIC, BadMessage, Status
 
@@ -17,130 +17,136 @@
 
 SECOND = 1_000_000_000
 W = TypeVar("W")
-LOGGED = 8  # changes of the view told a second; the others are counted
+MAX_LOG_LINES_PER_SECOND = 8  # further changes are only counted
 
 
-class View:
-    """One balancer's view of the others."""
+class FleetPlugin:
+    """One balancer's view of the fleet: members and leader."""
 
     name, first = "fleet", MAGIC
 
     def __init__(
         self, me: int, count: int, rng: random.Random, now: int, council: Sequence[int] = (), term_ns: int = 3 * SECOND
     ) -> None:
-        """As `Members`, and with the council's seats, if there is one; ValueError as there, and for no council."""
+        """`council`: the voters, empty for no election. Raises ValueError as Members, Voter and LeaderTracker do."""
         self.members = Members(me, count, rng, now)
         self.council = tuple(council)
-        self.seat = Seat(me, council, term_ns, rng, now) if me in council else None
-        self.follower = Follower(me, council, term_ns, rng, now) if council and self.seat is None else None
+        self.voter = Voter(me, council, term_ns, rng, now) if me in council else None
+        self.leader_tracker = LeaderTracker(me, council, term_ns, rng, now) if council and self.voter is None else None
         self._leader: int | None = None  # as last logged
-        self._bad = 0  # words between seats, or on who leads, that could not be read
-        self._said: list[tuple[int, bytes]] = []  # answers to those without a seat
-        self._second, self._told, self._untold = 0, 0, 0
+        self._unreadable = 0  # election and leader messages that could not be decoded
+        self._answers: list[tuple[int, bytes]] = []  # to leader queries of balancers that are no voters
+        self._log_second, self._logged_count, self._suppressed_count = 0, 0, 0
 
     @property
     def due_ns(self) -> int:
-        return min(p.due_ns for p in (self.members, self.seat, self.follower) if p is not None)
+        return min(
+            participant.due_ns
+            for participant in (self.members, self.voter, self.leader_tracker)
+            if participant is not None
+        )
 
     def heard(self, sender: int, data: bytes, now: int) -> None:
-        if is_following(data):
-            self._followed(sender, data, now)
-        elif election_wire.is_ballot(data):
-            self._voted(sender, data, now)
+        if is_leader_message(data):
+            self._on_leader_message(sender, data, now)
+        elif election_wire.is_election_message(data):
+            self._on_election_message(sender, data, now)
         else:
-            self.members.heard(sender, data, now)
-        self._tell(now)
+            self.members.receive(sender, data, now)
+        self._log_changes(now)
 
-    def _voted(self, sender: int, data: bytes, now: int) -> None:
-        word = self._read(election_wire.read, data)
-        if word is not None and self.seat is not None:
-            self.seat.heard(sender, word, now)
+    def _on_election_message(self, sender: int, data: bytes, now: int) -> None:
+        message = self._decode(election_wire.decode, data)
+        if message is not None and self.voter is not None:
+            self.voter.receive(sender, message, now)
 
-    def _followed(self, sender: int, data: bytes, now: int) -> None:
-        word = self._read(leader_query.read, data)
-        if word is None:
+    def _on_leader_message(self, sender: int, data: bytes, now: int) -> None:
+        message = self._decode(leader_query.decode, data)
+        if message is None:
             return
-        if self.follower is not None:
-            self.follower.heard(sender, word, now)
-        elif self.seat is not None and word.kind is leader_query.Kind.WHO and sender not in self.council:
-            self._said.append((sender, leader_query.written(leader_query.answer(self.seat, word, now))))
+        if self.leader_tracker is not None:
+            self.leader_tracker.receive(sender, message, now)
+        elif self.voter is not None and message.kind is leader_query.Kind.QUERY and sender not in self.council:
+            self._answers.append((sender, leader_query.encode(leader_query.answer_query(self.voter, message, now))))
 
-    def _read(self, read: Callable[[bytes], W], data: bytes) -> W | None:
+    def _decode(self, decode: Callable[[bytes], W], data: bytes) -> W | None:
         try:
-            return read(data)
+            return decode(data)
         except BadMessage:
-            self._bad += 1
+            self._unreadable += 1
             return None
 
     def leader(self, now: int) -> int | None:
-        """Who leads in this instant, as far as this balancer knows; None: nobody, or it does not know."""
-        knows = self.seat or self.follower
-        return None if knows is None else knows.leader(now)
+        """The leader at `now` as far as this balancer knows; None: there is none, or it is not known."""
+        participant = self.voter or self.leader_tracker
+        return None if participant is None else participant.leader(now)
 
     def tick(self, now: int) -> None:
         if now >= self.members.due_ns:
             self.members.tick(now)
-        if self.seat is not None and now >= self.seat.due_ns:
-            self.seat.tick(now)
-        if self.follower is not None and now >= self.follower.due_ns:
-            self.follower.tick(now)
-        self._tell(now)
+        if self.voter is not None and now >= self.voter.due_ns:
+            self.voter.tick(now)
+        if self.leader_tracker is not None and now >= self.leader_tracker.due_ns:
+            self.leader_tracker.tick(now)
+        self._log_changes(now)
 
     def leave(self, now: int) -> None:
         self.members.leave()
-        if self.seat is not None:
-            self.seat.leave(now)
+        if self.voter is not None:
+            self.voter.leave(now)
 
     def take_out(self) -> list[tuple[int, bytes]]:
-        out, self.members.out = self.members.out, []
-        if self.seat is not None:
-            out += [(to, election_wire.written(word)) for to, word in self.seat.out]
-            self.seat.out = []
-        if self.follower is not None:
-            out += [(to, leader_query.written(word)) for to, word in self.follower.out]
-            self.follower.out = []
-        out += self._said
-        self._said = []
-        return out
+        datagrams, self.members.outbox = self.members.outbox, []
+        if self.voter is not None:
+            datagrams += [(to, election_wire.encode(message)) for to, message in self.voter.outbox]
+            self.voter.outbox = []
+        if self.leader_tracker is not None:
+            datagrams += [(to, leader_query.encode(message)) for to, message in self.leader_tracker.outbox]
+            self.leader_tracker.outbox = []
+        datagrams += self._answers
+        self._answers = []
+        return datagrams
 
     def section(self, now: int) -> Mapping[str, object]:
-        """JSON of `/admin/fleet`."""
-        known = {m.number: (m.standing, m.incarnation) for m in self.members.members.values()}
+        """The JSON object of `/admin/fleet`."""
+        known = {member.number: (member.status, member.incarnation) for member in self.members.members.values()}
         known[self.members.me] = (Status.LEAVING if self.members.leaving else Status.UP, self.members.incarnation)
         members = [
-            {"number": number, "state": standing.name.lower(), "incarnation": incarnation}
-            for number, (standing, incarnation) in sorted(known.items())
+            {"number": number, "state": status.name.lower(), "incarnation": incarnation}
+            for number, (status, incarnation) in sorted(known.items())
         ]
         return {
             "me": self.members.me,
             "members": members,
             "council": self.council,
             "leader": self.leader(now),
-            "slow": self.members.ill,
-            "unread": self.members.bad + self._bad,
+            "slow": self.members.slowness,
+            "unread": self.members.unreadable + self._unreadable,
         }
 
-    def _tell(self, now: int) -> None:
-        if now // SECOND != self._second:
-            if self._untold:
-                log.info("fleet: %d further changes of the view in that second", self._untold)
-            self._second, self._told, self._untold = now // SECOND, 0, 0
+    def _log_changes(self, now: int) -> None:
+        if now // SECOND != self._log_second:
+            if self._suppressed_count:
+                log.info("fleet: %d further changes were not logged in that second", self._suppressed_count)
+            self._log_second, self._logged_count, self._suppressed_count = now // SECOND, 0, 0
         leader = self.leader(now)
         if leader != self._leader:
             self._leader = leader
-            self._say(
-                "nobody is known to lead"
+            self._log_line(
+                "no known leader"
                 if leader is None
                 else "this balancer leads"
                 if leader == self.members.me
                 else f"balancer {leader} leads"
             )
         for change in self.members.changes:
-            self._say(f"balancer {change.number} is {change.standing.name.lower()} (incarnation {change.incarnation})")
+            self._log_line(
+                f"balancer {change.number} is {change.status.name.lower()} (incarnation {change.incarnation})"
+            )
         self.members.changes.clear()
 
-    def _say(self, what: str) -> None:
-        if self._told < LOGGED:
-            log.info("fleet: %s", what)
-        self._untold += self._told >= LOGGED
-        self._told += 1
+    def _log_line(self, text: str) -> None:
+        if self._logged_count < MAX_LOG_LINES_PER_SECOND:
+            log.info("fleet: %s", text)
+        self._suppressed_count += self._logged_count >= MAX_LOG_LINES_PER_SECOND
+        self._logged_count += 1
--- a/lanemux/fleet/wire.py
+++ b/lanemux/fleet/wire.py
@@ -1,7 +1,7 @@
-"""The form of what balancers tell one another of who is there. No I/O and no clock.
+"""Encoding of the membership messages between balancers. No I/O and no clock.
 
 A message begins with MAGIC, VERSION and its kind, and its length is no multiple of a word's (`core/words.py`): a
-balancer of an older version, which reads words alone, leaves it unread. All numbers are unsigned, the first byte first.
+balancer of an older version, which knows words alone, ignores it. All numbers are unsigned and big-endian.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from lanemux.core.words import MESSAGE
 
 MAGIC, VERSION = 0xF1, 1
-HEAD = struct.Struct(">BBBBIIBIHHB")
-NEWS = struct.Struct(">HBIH")
-MAX_NUMBER = 2**16 - 2  # of a balancer; peers are told in their order
-NOBODY = 2**16 - 1
+HEADER = struct.Struct(">BBBBIIBIHHB")
+UPDATE = struct.Struct(">HBIH")
+MAX_NUMBER = 2**16 - 2  # of a balancer: its index in the configured peers
+NO_MEMBER = 2**16 - 1
 MAX_INCARNATION = 2**32 - 1
-MOST_NEWS = (MESSAGE - HEAD.size - 1) // NEWS.size  # one byte is for the length that no words have
+MAX_UPDATES = (MESSAGE - HEADER.size - 1) // UPDATE.size  # one byte is reserved to pad the length
 
 
 class Status(IntEnum):
-    """How a balancer stands. Of two words with the same incarnation the one further down holds."""
+    """A balancer's status. For the same incarnation the larger value takes precedence."""
 
     UP = 0
     SUSPECTED = 1
@@ -33,81 +33,85 @@
 
 
 class Kind(IntEnum):
-    """What a message wants."""
+    """Kinds of membership messages."""
 
-    ASK = 1  # are you there?
-    HERE = 2  # yes: to the question of that number
-    ASK_FOR_ME = 3  # ask `about` whether it is there, and tell me
-    HERE_TOO = 4  # `about` has answered me
-    SILENT = 5  # `about` has not answered me, though I am here (Lifeguard's nack)
-    TABLE = 6  # what do you know of those from number `about` on? and what I know
+    PING = 1  # asks for an ACK
+    ACK = 2  # to the PING with that sequence number
+    PING_REQUEST = 3  # asks the receiver to ping `subject` on behalf of the sender
+    INDIRECT_ACK = 4  # `subject` has answered the relayed ping
+    NACK = 5  # `subject` has not answered the relayed ping, but the helper is alive (Lifeguard's nack)
+    SYNC = 6  # exchanges the tables, from number `subject` on
 
 
-class News(NamedTuple):
-    """One balancer's standing, and who says so first."""
+class Update(NamedTuple):
+    """The status of one balancer, and which balancer reported it first."""
 
     number: int
-    standing: Status
+    status: Status
     incarnation: int
-    by: int
+    reporter: int
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram."""
+    """One membership message."""
 
     kind: Kind
-    boot: int  # the sender's process, by chance
+    boot_id: int  # random, identifies the sender's process
     incarnation: int  # of the sender
-    you: Status  # as the sender knows the receiver
-    your_incarnation: int
-    question: int  # its number, modulo 2**16
-    about: int = NOBODY
-    news: tuple[News, ...] = ()
-
-    def data(self) -> bytes:
-        """The datagram; ValueError for more news than one holds."""
-        if len(self.news) > MOST_NEWS:
-            raise ValueError(f"{len(self.news)} news in one message, of {MOST_NEWS}")
+    receiver_status: Status  # of the receiver, as the sender knows it
+    receiver_incarnation: int
+    sequence: int  # modulo 2**16
+    subject: int = NO_MEMBER
+    updates: tuple[Update, ...] = ()
+
+    def encode(self) -> bytes:
+        """Encode it as a datagram. Raises ValueError for more updates than fit in one."""
+        if len(self.updates) > MAX_UPDATES:
+            raise ValueError(f"{len(self.updates)} news in one message, of {MAX_UPDATES}")
         parts = [
-            HEAD.pack(
+            HEADER.pack(
                 MAGIC,
                 VERSION,
                 self.kind,
-                len(self.news),
-                self.boot,
+                len(self.updates),
+                self.boot_id,
                 self.incarnation,
-                self.you,
-                self.your_incarnation,
-                self.question,
-                self.about,
+                self.receiver_status,
+                self.receiver_incarnation,
+                self.sequence,
+                self.subject,
                 0,
             )
         ]
-        parts += [NEWS.pack(*n) for n in self.news]
+        parts += [UPDATE.pack(*update) for update in self.updates]
         data = b"".join(parts)
         return data + b"\0" if len(data) % WORD.size == 0 else data
 
 
 class BadMessage(ValueError):
-    """Not a message of this kind and version, or one that is cut or holds what can't be."""
+    """Not a message of this kind and version, or truncated, or with invalid values."""
 
 
-def read(data: bytes) -> Message:
-    """The message in a datagram; BadMessage with a reason for anything else."""
-    if len(data) < HEAD.size or len(data) > MESSAGE or len(data) % WORD.size == 0:
-        raise BadMessage(f"{len(data)} bytes are no message on who is there")
-    magic, version, kind, count, boot, incarnation, you, yours, question, about, _ = HEAD.unpack_from(data)
+def decode(data: bytes) -> Message:
+    """Decode a datagram. Raises BadMessage with a reason if it is no membership message."""
+    if len(data) < HEADER.size or len(data) > MESSAGE or len(data) % WORD.size == 0:
+        raise BadMessage(f"{len(data)} bytes are no membership message")
+    magic, version, kind, count, boot_id, incarnation, receiver_status, receiver_incarnation, sequence, subject, _ = (
+        HEADER.unpack_from(data)
+    )
     if magic != MAGIC or version != VERSION:
-        raise BadMessage(f"begins with {magic:#x}, version {version}")
-    size = HEAD.size + count * NEWS.size
+        raise BadMessage(f"unknown magic {magic:#x} or version {version}")
+    size = HEADER.size + count * UPDATE.size
     if size > len(data) or len(data) > size + 1:
-        raise BadMessage(f"{len(data)} bytes for {count} news")
+        raise BadMessage(f"{len(data)} bytes for {count} updates")
     try:
-        news = tuple(
-            News(number, Status(standing), inc, by)
-            for number, standing, inc, by in NEWS.iter_unpack(data[HEAD.size : size])
+        updates = tuple(
+            Update(number, Status(status), update_incarnation, reporter)
+            for number, status, update_incarnation, reporter in UPDATE.iter_unpack(data[HEADER.size : size])
+        )
+        return Message(
+            Kind(kind), boot_id, incarnation, Status(receiver_status), receiver_incarnation, sequence, subject, updates
         )
-        return Message(Kind(kind), boot, incarnation, Status(you), yours, question, about, news)
     except ValueError as error:
         raise BadMessage(str(error)) from None
--- a/tests/cluster/explore.py
+++ b/tests/cluster/explore.py
@@ -1,9 +1,9 @@
-"""Every order of loss, doubling, lateness, crash, amnesia and expiry up to a depth, over the very seats that run.
+"""Exhaustive exploration of the election up to a depth: loss, duplication, delay, crash, lost state and expiry.
 
-A state is the seats, the words on their way and what time it is; from each, every step is taken once. A word may be
-delivered at any later time or never, and stays on its way when it has been, so that it may come twice; a seat may crash
-and start again blank; time goes on by a tick. Two of the three ask. Told are the states, and whether ever two seats led
-in the same instant.
+It runs the production voters. A state consists of the voters, the messages in flight and the time; from each state
+every possible step is taken once. A message may be delivered at any later time or never, and stays in flight after
+delivery, so that it may arrive twice; a voter may crash and restart without its state; time advances by a tick. Two of
+the three voters start rounds. The result is the number of states, and whether two voters ever led at the same time.
 """
 
 from __future__ import annotations
@@ -13,154 +13,166 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from lanemux.fleet.election import Seat, Step, Word
+from lanemux.fleet.election import ElectionMessage, MessageKind, Voter
 
-TERM, TICK = 300, 100  # nanoseconds, as the seats count; a term of three ticks
-ASKERS, MOST_TURNS = (0, 2), 2  # who asks, and how often at the most
+TERM, TICK = 300, 100  # nanoseconds, the unit of the voters; a term has three ticks
+PROPOSERS, MAX_ROUNDS = (0, 2), 2  # who starts rounds, and how many at most
 
-MakeSeat = Callable[[int, int, bool], Seat]  # of its number, the time, and whether it is blank
+MakeVoter = Callable[[int, int, bool], Voter]  # of its number, the time, and whether it may have voted before
 
 
-def seat(number: int, now: int, blank: bool) -> Seat:
-    """One of three; its own chance decides nothing here."""
-    made = Seat(number, (0, 1, 2), TERM, random.Random(0), now, blank=blank)
-    made.boot = 0
+def make_voter(number: int, now: int, may_have_voted: bool) -> Voter:
+    """One of three voters; its random generator has no influence here."""
+    made = Voter(number, (0, 1, 2), TERM, random.Random(0), now, may_have_voted=may_have_voted)
+    made.boot_id = 0
     return made
 
 
 @dataclass(slots=True)
 class State:
-    """All of it."""
+    """The complete state."""
 
     now: int
-    seats: list[Seat]
-    on_way: frozenset[tuple[int, int, Word]]
+    voters: list[Voter]
+    in_flight: frozenset[tuple[int, int, ElectionMessage]]
     crashes: int = 0
 
     def key(self) -> tuple[object, ...]:
-        """The same for states that differ in nothing that counts: times are told from now on."""
-        now, known = self.now, []
-        for s in self.seats:
-            ours = s._round
-            known.append(
+        """Equal for equivalent states: times are relative to now."""
+        now, seen = self.now, []
+        for voter in self.voters:
+            current = voter._round
+            seen.append(
                 (
-                    max(0, s.silent_ns - now),
-                    s.promised,
-                    s.accepted if s.accepted_ns > now else -1,
-                    max(0, s.accepted_ns - now),
-                    max(0, s.held_ns - now),
-                    ours
+                    max(0, voter.no_vote_until_ns - now),
+                    voter.promised_ballot,
+                    voter.accepted_leader if voter.accepted_until_ns > now else -1,
+                    max(0, voter.accepted_until_ns - now),
+                    max(0, voter.lease_end_ns - now),
+                    current
                     and (
-                        ours.ballot,
-                        now - ours.begun_ns if now - ours.begun_ns <= TERM else TERM,
-                        frozenset(ours.promised),
-                        frozenset(ours.accepted),
-                        ours.proposed,
+                        current.ballot,
+                        now - current.started_ns if now - current.started_ns <= TERM else TERM,
+                        frozenset(current.promised_by),
+                        frozenset(current.accepted_by),
+                        current.proposed,
                     ),
                 )
             )
-        return tuple(known), self.on_way, self.crashes
+        return tuple(seen), self.in_flight, self.crashes
 
     def copy(self) -> State:
-        return State(self.now, [self._seat(s) for s in self.seats], self.on_way, self.crashes)
+        return State(self.now, [self._copy_voter(voter) for voter in self.voters], self.in_flight, self.crashes)
 
     @staticmethod
-    def _seat(of: Seat) -> Seat:
-        made = copy.copy(of)
-        made.out = []
+    def _copy_voter(of: Voter) -> Voter:
+        copied = copy.copy(of)
+        copied.outbox = []
         if of._round is not None:
-            made._round = copy.copy(of._round)
-            made._round.promised, made._round.accepted = set(of._round.promised), set(of._round.accepted)
-        return made
+            copied._round = copy.copy(of._round)
+            copied._round.promised_by, copied._round.accepted_by = (
+                set(of._round.promised_by),
+                set(of._round.accepted_by),
+            )
+        return copied
 
-    def sent(self, who: int) -> None:
-        """What a seat wants to send goes on its way."""
-        words = {(who, to, word) for to, word in self.seats[who].out}
-        self.seats[who].out = []
-        self.on_way |= words
+    def flush_outbox(self, number: int) -> None:
+        """Put the messages that a voter wants to send in flight."""
+        messages = {(number, to, message) for to, message in self.voters[number].outbox}
+        self.voters[number].outbox = []
+        self.in_flight |= messages
 
     @property
     def leaders(self) -> list[int]:
-        return [i for i, s in enumerate(self.seats) if s.leads(self.now)]
-
-
-def steps(state: State, make: MakeSeat, most_crashes: int) -> Iterator[tuple[str, State]]:
-    """Every step from here."""
-    for i, s in enumerate(state.seats):
-        if i in ASKERS and state.now >= s.silent_ns and s._round is None and s.promised.turn < MOST_TURNS:
+        return [i for i, voter in enumerate(self.voters) if voter.is_leader(self.now)]
+
+
+def steps(state: State, make: MakeVoter, max_crashes: int) -> Iterator[tuple[str, State]]:
+    """Every possible step from this state."""
+    for i, voter in enumerate(state.voters):
+        if (
+            i in PROPOSERS
+            and state.now >= voter.no_vote_until_ns
+            and voter._round is None
+            and voter.promised_ballot.counter < MAX_ROUNDS
+        ):
             after = state.copy()
-            after.seats[i].ask(after.now)
-            after.sent(i)
-            yield f"{i} asks", after
-        if state.crashes < most_crashes:
+            after.voters[i].start_round(after.now)
+            after.flush_outbox(i)
+            yield f"{i} starts a round", after
+        if state.crashes < max_crashes:
             after = state.copy()
-            after.seats[i] = make(i, after.now, True)
+            after.voters[i] = make(i, after.now, True)
             after.crashes += 1
-            yield f"{i} starts blank", after
-    for sender, to, word in state.on_way:
+            yield f"{i} restarts without its state", after
+    for sender, to, message in state.in_flight:
         after = state.copy()
-        after.seats[to].heard(sender, word, after.now)
-        after.sent(to)
-        yield f"{to} hears {word} of {sender}", after
+        after.voters[to].receive(sender, message, after.now)
+        after.flush_outbox(to)
+        yield f"{to} receives {message} from {sender}", after
     after = state.copy()
     after.now += TICK
-    for s in after.seats:
-        if s._round is not None and after.now >= s._given_up_ns(s._round) and after.now >= s._round.begun_ns + TERM:
-            s._round = None
+    for voter in after.voters:
+        if (
+            voter._round is not None
+            and after.now >= voter._round_deadline_ns(voter._round)
+            and after.now >= voter._round.started_ns + TERM
+        ):
+            voter._round = None
     yield "a tick", after
 
 
 @dataclass(slots=True)
 class Explored:
-    """What was found."""
+    """Result of an exploration."""
 
     states: int
-    path: list[str] | None  # to two leaders; None: there are never two
+    path: list[str] | None  # steps that lead to two leaders; None if there were none
 
 
-def quiet(make: MakeSeat) -> State:
-    """Three seats that nobody has asked yet."""
+def idle(make: MakeVoter) -> State:
+    """Three voters before any round."""
     return State(10 * TERM, [make(i, 10 * TERM, False) for i in range(3)], frozenset())
 
 
-def proposed(make: MakeSeat) -> State:
-    """0 has asked, 1 has promised, and what 0 proposes is on its way; 2 has heard nothing."""
-    state = quiet(make)
-    state.seats[0].ask(state.now)
-    state.sent(0)
-    return _hear(state, (0, 1, Step.PREPARE), (1, 0, Step.PROMISE))
+def proposed(make: MakeVoter) -> State:
+    """0 has started a round, 1 has promised, and 0's proposal is in flight; 2 has received nothing."""
+    state = idle(make)
+    state.voters[0].start_round(state.now)
+    state.flush_outbox(0)
+    return _deliver(state, (0, 1, MessageKind.PREPARE), (1, 0, MessageKind.PROMISE))
 
 
-def led(make: MakeSeat) -> State:
-    """And 1 has accepted it, and 0 heard of it: it leads."""
-    state = _hear(proposed(make), (0, 1, Step.PROPOSE), (1, 0, Step.ACCEPT))
+def with_leader(make: MakeVoter) -> State:
+    """After `proposed`, 1 has accepted and 0 received that: 0 leads."""
+    state = _deliver(proposed(make), (0, 1, MessageKind.PROPOSE), (1, 0, MessageKind.ACCEPT))
     assert state.leaders == [0]
     return state
 
 
-def _hear(state: State, *which: tuple[int, int, Step]) -> State:
-    for sender, to, step in which:
-        word = next(w for a, b, w in state.on_way if (a, b, w.step) == (sender, to, step))
-        state.seats[to].heard(sender, word, state.now)
-        state.sent(to)
+def _deliver(state: State, *which: tuple[int, int, MessageKind]) -> State:
+    for sender, to, kind in which:
+        message = next(w for a, b, w in state.in_flight if (a, b, w.kind) == (sender, to, kind))
+        state.voters[to].receive(sender, message, state.now)
+        state.flush_outbox(to)
     return state
 
 
 def explore(
-    depth: int, make: MakeSeat = seat, begin: Callable[[MakeSeat], State] = quiet, most_crashes: int = 1
+    depth: int, make: MakeVoter = make_voter, make_start: Callable[[MakeVoter], State] = idle, max_crashes: int = 1
 ) -> Explored:
-    """All states up to so many steps from a beginning."""
-    first = begin(make)
+    """Visit all states up to `depth` steps from a start state."""
+    first = make_start(make)
     level: list[tuple[State, tuple[str, ...]]] = [(first, ())]
-    known = {first.key()}
+    seen = {first.key()}
     for _ in range(depth):
-        following = []
+        next_level = []
         for state, path in level:
-            for what, after in steps(state, make, most_crashes):
+            for what, after in steps(state, make, max_crashes):
                 if len(after.leaders) > 1:
-                    return Explored(len(known), [*path, what])
-                if (key := after.key()) not in known:
-                    known.add(key)
-                    following.append((after, (*path, what)))
-        level = following
-    return Explored(len(known), None)
+                    return Explored(len(seen), [*path, what])
+                if (key := after.key()) not in seen:
+                    seen.add(key)
+                    next_level.append((after, (*path, what)))
+        level = next_level
+    return Explored(len(seen), None)
--- a/tests/cluster/rig.py
+++ b/tests/cluster/rig.py
@@ -1,6 +1,6 @@
-"""Several real processes of the program on loopback, and faults between them.
+"""Several processes of the balancer on loopback, with faults between them.
 
-Ways drop, double, delay, stall or are cut; processes are killed, frozen, woken, started again."""
+Links drop, duplicate, delay, hold back or are cut; processes are killed, suspended, resumed and restarted."""
 
 from __future__ import annotations
 
@@ -24,61 +24,63 @@
 from tests.sockets import HOST
 from tests.test_process import SETTINGS, config
 
-START_S = 20.0  # a process is up by then, also where many start at once on a busy machine
+START_S = 20.0  # upper bound for a start, also when many start at once on a busy machine
 LOOK_S = 0.05
-ADMIN_HOST = "127.0.9.1"  # no other socket of a balancer is bound there: none takes a port that was free
+ADMIN_HOST = "127.0.9.1"  # no other socket of a balancer is bound there, so none takes a port found free
 
 
 @dataclass(slots=True)
-class Way:
-    """What befalls datagrams from one balancer to another."""
+class Link:
+    """Faults of the datagrams from one balancer to another."""
 
     cut: bool = False
-    stalled: bool = False  # kept, and let through all at once when it ends
-    lose: float = 0.0
-    twice: float = 0.0
-    late_s: tuple[float, float] = (0.0, 0.0)
-    kept: list[bytes] = field(default_factory=list)
+    stalled: bool = False  # held back, and delivered all at once when that ends
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
+    delay_s: tuple[float, float] = (0.0, 0.0)
+    held_back: list[bytes] = field(default_factory=list)
 
 
-class Links(Relay):
-    """The kit's network between balancers, each way with faults of its own."""
+class FaultyRelay(Relay):
+    """The rehearsal's relay between balancers, with faults of its own for each direction."""
 
     def __init__(self, listens: list[tuple[str, int]], seed: int) -> None:
         super().__init__(Network(peer_loss=0.0, peer_ms=(0.0, 1.0)), listens, seed)
-        self.ways = {(a, b): Way() for a in range(len(listens)) for b in range(len(listens)) if a != b}
-        self._chance = random.Random(f"{seed}/ways")
-        self._late: set[asyncio.TimerHandle] = set()
+        self.links = {(a, b): Link() for a in range(len(listens)) for b in range(len(listens)) if a != b}
+        self._link_rng = random.Random(f"{seed}/ways")
+        self._link_timers: set[asyncio.TimerHandle] = set()
 
     def carry(self, sender: int, to: int, data: bytes) -> None:
-        way = self.ways.get((sender, to))
-        if way is None or way.cut or self._chance.random() < way.lose:
+        link = self.links.get((sender, to))
+        if link is None or link.cut or self._link_rng.random() < link.loss_rate:
             return
-        if way.stalled:
-            way.kept.append(data)
+        if link.stalled:
+            link.held_back.append(data)
             return
-        for _ in range(1 + (self._chance.random() < way.twice)):
+        for _ in range(1 + (self._link_rng.random() < link.duplicate_rate)):
             handle = asyncio.get_running_loop().call_later(
-                self._chance.uniform(*way.late_s), super().carry, sender, to, data
+                self._link_rng.uniform(*link.delay_s), super().carry, sender, to, data
             )
-            self._late.add(handle)
-        self._late = {h for h in self._late if not h.cancelled() and h.when() > asyncio.get_running_loop().time()}
-
-    def let_go(self) -> None:
-        """Stalls end: all that was kept goes through at once."""
-        for (sender, to), way in self.ways.items():
-            way.stalled, kept, way.kept = False, way.kept, []
-            for data in kept:
+            self._link_timers.add(handle)
+        self._link_timers = {
+            h for h in self._link_timers if not h.cancelled() and h.when() > asyncio.get_running_loop().time()
+        }
+
+    def release(self) -> None:
+        """End all stalls and deliver everything held back at once."""
+        for (sender, to), link in self.links.items():
+            link.stalled, held_back, link.held_back = False, link.held_back, []
+            for data in held_back:
                 super().carry(sender, to, data)
 
     def close(self) -> None:
-        for handle in self._late:
+        for handle in self._link_timers:
             handle.cancel()
         super().close()
 
 
 def free_ports(kind: socket.SocketKind, count: int, host: str = HOST) -> list[int]:
-    """Ports of that host that nobody has now."""
+    """Ports of that host that are free now."""
     with contextlib.ExitStack() as stack:
         taken = [stack.enter_context(socket.socket(socket.AF_INET, kind)) for _ in range(count)]
         for sock in taken:
@@ -87,23 +89,23 @@
 
 
 class Cluster:
-    """The processes, by number."""
+    """Balancer processes, by number."""
 
     def __init__(self, folder: Path, count: int, seed: int, operators: str) -> None:
         self.folder, self.count = folder, count
         self.listens = [(HOST, port) for port in free_ports(socket.SOCK_DGRAM, count)]
         self.admin = free_ports(socket.SOCK_STREAM, count, ADMIN_HOST)
-        self.links = Links(self.listens, seed)
+        self.relay = FaultyRelay(self.listens, seed)
         self.processes: dict[int, Process] = {}
         self._peers: list[list[tuple[str, int]]] = []
         (folder / "operators.toml").write_text(operators)
 
     async def open(self) -> None:
-        self._peers, _ = await self.links.open(HOST)
+        self._peers, _ = await self.relay.open(HOST)
         await asyncio.gather(*(self.start(i) for i in range(self.count)))
 
     async def start(self, i: int) -> None:
-        """Start one, blank; it is up when its second address answers."""
+        """Start one without state; it is up when its admin address answers."""
         path = self.folder / f"{i}.json"
         settings = {**SETTINGS, "me": i, "replicas_of_me": self.count}
         path.write_text(
@@ -132,7 +134,7 @@
                 await asyncio.sleep(LOOK_S)
 
     async def view(self, i: int) -> dict[int, tuple[str, int]] | None:
-        """(state, incarnation) of each, as this one tells it; None where it does not answer."""
+        """(state, incarnation) of each member as this one reports it; None if it does not answer."""
         told = await self.call(i, "/admin/fleet")
         return None if told is None else {m["number"]: (m["state"], m["incarnation"]) for m in told["members"]}
 
@@ -148,14 +150,14 @@
         return json.loads(body) if b" 200 " in head.partition(b"\r\n")[0] else None
 
     async def until(
-        self, what: Callable[[dict[int, dict[int, tuple[str, int]]]], bool], of: list[int], limit_s: float
+        self, condition: Callable[[dict[int, dict[int, tuple[str, int]]]], bool], numbers: list[int], limit_s: float
     ) -> float:
-        """Wait until this holds of the views of these; how long that took. TimeoutError with the views."""
+        """Wait until the condition holds for these views; returns the seconds it took. TimeoutError lists the views."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
         while True:
-            views = {i: v for i in of if (v := await self.view(i)) is not None}
-            if len(views) == len(of) and what(views):
+            views = {i: v for i in numbers if (v := await self.view(i)) is not None}
+            if len(views) == len(numbers) and condition(views):
                 return loop.time() - begun
             if loop.time() > begun + limit_s:
                 raise TimeoutError(f"after {limit_s} s: {views}")
@@ -171,14 +173,14 @@
     async def close(self) -> None:
         for process in self.processes.values():
             if process.returncode is None:
-                process.kill()  # also of one that is frozen
+                process.kill()  # works on a suspended one too
         await asyncio.gather(*(p.wait() for p in self.processes.values()))
-        self.links.close()
+        self.relay.close()
 
 
 @asynccontextmanager
 async def cluster(folder: Path, count: int, seed: int, operators: str = "[fleet]\n") -> AsyncIterator[Cluster]:
-    """So many processes that are up."""
+    """`count` running processes."""
     made = Cluster(folder, count, seed, operators)
     try:
         await made.open()
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -1,4 +1,4 @@
-"""Never two leaders at one instant: every order of what can happen, up to a depth, and faults that are found so."""
+"""Never two leaders at one instant: exhaustive exploration up to a depth, and planted faults that it must find."""
 
 from __future__ import annotations
 
@@ -13,172 +13,172 @@
 
 from lanemux.core.words import read_words
 from lanemux.fleet import election, election_wire, wire
-from lanemux.fleet.election import Ballot, Round, Seat, Step, Word
+from lanemux.fleet.election import Ballot, ElectionMessage, MessageKind, Round, Voter
 from lanemux.fleet.wire import BadMessage
 from tests.cluster import explore as explorer
-from tests.cluster.explore import TERM, explore, led, proposed, quiet
+from tests.cluster.explore import TERM, explore, idle, proposed, with_leader
 from tests.cluster.rig import cluster
 
 MS = 1_000_000
 
 
-@pytest.mark.parametrize(("begin", "depth"), [(quiet, 7), (proposed, 6), (led, 6)])
+@pytest.mark.parametrize(("make_start", "depth"), [(idle, 7), (proposed, 6), (with_leader, 6)])
 def test_no_order_of_lateness_doubling_crash_amnesia_and_expiry_makes_two_leaders(
-    begin: explorer.MakeSeat, depth: int
+    make_start: explorer.MakeVoter, depth: int
 ) -> None:
-    found = explore(depth, begin=begin)  # type: ignore[arg-type]
+    found = explore(depth, make_start=make_start)  # type: ignore[arg-type]
     assert found.path is None and found.states > 1000
 
 
-class BlankVotes(Seat):
-    """A seat that has lost its memory votes as if it had it."""
+class VotesAtOnce(Voter):
+    """A voter that has lost its state votes at once."""
 
-    def __init__(self, *args: object, **told: object) -> None:
-        super().__init__(*args, **told)  # type: ignore[arg-type]
-        self.silent_ns = 0
+    def __init__(self, *args: object, **kwargs: object) -> None:
+        super().__init__(*args, **kwargs)  # type: ignore[arg-type]
+        self.no_vote_until_ns = 0
 
 
-class HalfSilent(Seat):
-    """It is silent for a third of what it may have promised."""
+class VotesTooEarly(Voter):
+    """It abstains only for a third of the time for which it may have promised."""
 
-    def __init__(self, *args: object, **told: object) -> None:
-        super().__init__(*args, **told)  # type: ignore[arg-type]
-        self.silent_ns -= (self.silent_ns > 10 * TERM) * 2 * TERM // 3
+    def __init__(self, *args: object, **kwargs: object) -> None:
+        super().__init__(*args, **kwargs)  # type: ignore[arg-type]
+        self.no_vote_until_ns -= (self.no_vote_until_ns > 10 * TERM) * 2 * TERM // 3
 
 
-class Forgetful(Seat):
-    """A promise does not tell who leads."""
+class PromiseWithoutLeader(Voter):
+    """A promise does not name the accepted leader."""
 
-    def _prepared(self, ballot: Ballot) -> Word:
-        return super()._prepared(ballot)._replace(leads=-1)
+    def _on_prepare(self, ballot: Ballot) -> ElectionMessage:
+        return super()._on_prepare(ballot)._replace(leader=-1)
 
 
-class TakesAny(Seat):
+class AcceptsLowerBallot(Voter):
     """A ballot below the promised one is accepted."""
 
-    def _proposed(self, sender: int, ballot: Ballot, now: int) -> Word:
-        self.promised = election.NONE
-        return super()._proposed(sender, ballot, now)
+    def _on_propose(self, sender: int, ballot: Ballot, now: int) -> ElectionMessage:
+        self.promised_ballot = election.NO_BALLOT
+        return super()._on_propose(sender, ballot, now)
 
 
-class OneIsEnough(Seat):
-    """No majority is asked for."""
+class NoMajority(Voter):
+    """One vote counts as a majority."""
 
-    def _most(self, seats: object) -> bool:
+    def _is_majority(self, voters: object) -> bool:
         return True
 
 
-class HoldsLonger(Seat):
-    """The holder reckons its lease from the answer."""
+class LeaseTooLong(Voter):
+    """The holder takes its lease to last longer than granted."""
 
-    def _held_until(self, ours: Round) -> int:
-        return ours.begun_ns + 2 * TERM
+    def _lease_end(self, current: Round) -> int:
+        return current.started_ns + 2 * TERM
 
 
 @pytest.mark.parametrize(
-    ("broken", "begin", "depth", "crashes"),
+    ("broken", "make_start", "depth", "crashes"),
     [
-        (BlankVotes, led, 6, 1),
-        (HalfSilent, led, 7, 1),
-        (Forgetful, led, 5, 0),
-        (TakesAny, proposed, 7, 0),
-        (OneIsEnough, quiet, 2, 0),
-        (HoldsLonger, led, 8, 0),
+        (VotesAtOnce, with_leader, 6, 1),
+        (VotesTooEarly, with_leader, 7, 1),
+        (PromiseWithoutLeader, with_leader, 5, 0),
+        (AcceptsLowerBallot, proposed, 7, 0),
+        (NoMajority, idle, 2, 0),
+        (LeaseTooLong, with_leader, 8, 0),
     ],
 )
 def test_each_planted_fault_makes_two_leaders(
-    broken: type[Seat], begin: explorer.MakeSeat, depth: int, crashes: int
+    broken: type[Voter], make_start: explorer.MakeVoter, depth: int, crashes: int
 ) -> None:
-    def make(number: int, now: int, blank: bool) -> Seat:
-        made = broken(number, (0, 1, 2), TERM, random.Random(0), now, blank=blank)
-        made.boot = 0
+    def make(number: int, now: int, may_have_voted: bool) -> Voter:
+        made = broken(number, (0, 1, 2), TERM, random.Random(0), now, may_have_voted=may_have_voted)
+        made.boot_id = 0
         return made
 
-    assert explore(depth, make, begin, crashes).path is not None  # type: ignore[arg-type]
+    assert explore(depth, make, make_start, crashes).path is not None  # type: ignore[arg-type]
 
 
-def play(seats: dict[int, Seat], rng: random.Random, steps: int, lose: float) -> tuple[int, int]:
-    """Seats whose words are lost and late, and that start again blank: (instants with a leader, of so many)."""
-    now, on_way, led_for = 0, list[tuple[int, int, int, Word]](), 0
+def play(voters: dict[int, Voter], rng: random.Random, steps: int, loss_rate: float) -> tuple[int, int]:
+    """Voters whose messages are lost and late, and that restart without state: (steps with a leader, all steps)."""
+    now, in_flight, led_steps = 0, list[tuple[int, int, int, ElectionMessage]](), 0
     for _ in range(steps):
         now += 5 * MS
-        for due, sender, to, word in [w for w in on_way if w[0] <= now]:
-            on_way.remove((due, sender, to, word))
-            seats[to].heard(sender, word, now)
+        for due, sender, to, message in [w for w in in_flight if w[0] <= now]:
+            in_flight.remove((due, sender, to, message))
+            voters[to].receive(sender, message, now)
         if rng.random() < 0.001:
-            i = rng.choice(list(seats))
-            seats[i] = Seat(i, seats[i].council, seats[i].term_ns, random.Random(rng.random()), now)
-        for i, s in seats.items():
-            if now >= s.due_ns:
-                s.tick(now)
-            for to, word in s.out:
+            i = rng.choice(list(voters))
+            voters[i] = Voter(i, voters[i].council, voters[i].term_ns, random.Random(rng.random()), now)
+        for i, voter in voters.items():
+            if now >= voter.due_ns:
+                voter.tick(now)
+            for to, message in voter.outbox:
                 for _ in range(1 + (rng.random() < 0.1)):
-                    if rng.random() >= lose:
-                        on_way.append((now + int(rng.expovariate(1 / 25) * MS), i, to, word))
-            s.out.clear()
-        leaders = [i for i, s in seats.items() if s.leads(now)]
+                    if rng.random() >= loss_rate:
+                        in_flight.append((now + int(rng.expovariate(1 / 25) * MS), i, to, message))
+            voter.outbox.clear()
+        leaders = [i for i, voter in voters.items() if voter.is_leader(now)]
         assert len(leaders) <= 1
-        led_for += len(leaders)
-    return led_for, steps
+        led_steps += len(leaders)
+    return led_steps, steps
 
 
 @pytest.mark.parametrize("council", [1, 3, 5, 7])
 def test_somebody_leads_most_of_the_time_and_never_two(council: int) -> None:
     for seed in range(10):
         rng = random.Random(seed)
-        seats = {i: Seat(i, range(council), 1000 * MS, random.Random(rng.random()), 0) for i in range(council)}
-        led_for, of = play(seats, rng, 4000, lose=0.1)
-        assert led_for > 0.6 * of
+        voters = {i: Voter(i, range(council), 1000 * MS, random.Random(rng.random()), 0) for i in range(council)}
+        led_steps, of = play(voters, rng, 4000, loss_rate=0.1)
+        assert led_steps > 0.6 * of
 
 
 def test_a_leader_that_stood_still_leads_no_longer_when_it_wakes() -> None:
-    seat = Seat(0, [0], 1000 * MS, random.Random(1), 0, blank=False)
-    seat.ask(0)
-    assert seat.leads(900 * MS) and not seat.leads(10_000 * MS)
+    voter = Voter(0, [0], 1000 * MS, random.Random(1), 0, may_have_voted=False)
+    voter.start_round(0)
+    assert voter.is_leader(900 * MS) and not voter.is_leader(10_000 * MS)
 
 
 def test_a_council_that_cannot_be_is_refused() -> None:
     for council in ([0, 1], [1, 2, 3]):
         with pytest.raises(ValueError, match="council"):
-            Seat(0, council, MS, random.Random(1), 0)
+            Voter(0, council, MS, random.Random(1), 0)
 
 
 def test_who_has_no_seat_is_not_heard() -> None:
-    seat = Seat(0, [0, 1, 2], 1000 * MS, random.Random(1), 0, blank=False)
-    seat.heard(7, Word(Step.PREPARE, Ballot(9, 7, 1)), 0)
-    assert seat.out == [] and seat.promised == election.NONE
+    voter = Voter(0, [0, 1, 2], 1000 * MS, random.Random(1), 0, may_have_voted=False)
+    voter.receive(7, ElectionMessage(MessageKind.PREPARE, Ballot(9, 7, 1)), 0)
+    assert voter.outbox == [] and voter.promised_ballot == election.NO_BALLOT
 
 
-WORDS = st.builds(
-    Word,
-    st.sampled_from(Step),
+MESSAGES = st.builds(
+    ElectionMessage,
+    st.sampled_from(MessageKind),
     st.builds(Ballot, *[st.integers(0, 2**32 - 1), st.integers(0, 2**16 - 1), st.integers(0, 2**32 - 1)]),
-    st.just(election.NONE),
+    st.just(election.NO_BALLOT),
     st.integers(-1, 2**16 - 2),
 )
 
 
 @settings(derandomize=True, deadline=None)
-@given(WORDS)
-def test_a_word_between_seats_is_read_as_it_was_written_and_cut_by_nobody(word: Word) -> None:
-    data = election_wire.written(word)
-    assert election_wire.read(data) == word and election_wire.is_ballot(data) and read_words(data) == []
+@given(MESSAGES)
+def test_a_word_between_seats_is_read_as_it_was_written_and_cut_by_nobody(message: ElectionMessage) -> None:
+    data = election_wire.encode(message)
+    assert election_wire.decode(data) == message and election_wire.is_election_message(data) and read_words(data) == []
     for length in range(len(data)):
         with pytest.raises(BadMessage):
-            election_wire.read(data[:length])
+            election_wire.decode(data[:length])
     with pytest.raises(BadMessage):
-        wire.read(data)
+        wire.decode(data)
 
 
 def test_one_of_three_processes_leads_and_another_after_it_was_frozen_which_leads_no_more(tmp_path: Path) -> None:
     async def test() -> None:
         operators = "[fleet]\ncouncil = [0, 1, 2]\nlease_ms = 1000\n"
         async with cluster(tmp_path, 4, seed=5, operators=operators) as fleet:
-            for way in fleet.links.ways.values():
-                way.lose, way.twice, way.late_s = 0.05, 0.1, (0.0, 0.03)
+            for link in fleet.relay.links.values():
+                link.loss_rate, link.duplicate_rate, link.delay_s = 0.05, 0.1, (0.0, 0.03)
 
             async def leader(of: list[int], but: int = -1) -> int:
-                """The one that all of these name."""
+                """The leader that all of these name."""
                 async with asyncio.timeout(20):
                     while True:
                         told = {(await fleet.call(i, "/admin/fleet"))["leader"] for i in of}
@@ -186,7 +186,7 @@
                             return int(told.pop())
                         await asyncio.sleep(0.02)
 
-            first = await leader([0, 1, 2, 3])  # the last one has no seat, and is told
+            first = await leader([0, 1, 2, 3])  # the last one is no voter and has to ask
             fleet.signal(first, signal.SIGSTOP)
             second = await leader([i for i in (0, 1, 2, 3) if i != first], but=first)
             fleet.signal(first, signal.SIGCONT)
@@ -194,7 +194,7 @@
             assert await leader([0, 1, 2]) == second
             await fleet.kill(second)
             third = await leader([i for i in (0, 1, 2, 3) if i != second], but=second)
-            await fleet.start(second)  # blank: it votes for nobody as long as its former word may count
+            await fleet.start(second)  # without state: it does not vote while earlier promises may be valid
             assert third != second and await leader([0, 1, 2]) != second
 
     asyncio.run(asyncio.wait_for(test(), 60))
--- a/tests/cluster/test_following.py
+++ b/tests/cluster/test_following.py
@@ -1,4 +1,4 @@
-"""Who leads, told to those without a seat: never believed while another leads, whatever befalls the words."""
+"""Leader queries of balancers that are no voters: they never name one while another leads, whatever messages suffer."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 from lanemux.core.words import read_words
 from lanemux.fleet import election_wire, leader_query
-from lanemux.fleet.election import Seat
-from lanemux.fleet.leader_query import Follower, Kind, Word
+from lanemux.fleet.election import Voter
+from lanemux.fleet.leader_query import Kind, LeaderMessage, LeaderTracker
 from lanemux.fleet.wire import BadMessage
 
 MS = 1_000_000
 TERM = 1000 * MS
-SEATS, OTHERS = range(3), range(3, 6)
+VOTERS, TRACKERS = range(3), range(3, 6)
 STEP_NS = 5 * MS
 
 
 @dataclass
-class Played:
-    """What a play counted."""
+class Result:
+    """Counters of one simulation."""
 
-    known: int = 0  # instants in which one without a seat names a leader, of all its instants
-    instants: int = 0
-    asked: int = 0
-    astray: int = 0  # it names one while another leads, or, where none starts anew, one that does not lead
+    known: int = 0  # samples in which a tracker names a leader
+    samples: int = 0
+    queries: int = 0
+    wrong: int = 0  # it names one while another leads, or, if no voter crashes, one that does not lead
 
 
 class Clocks:
-    """Each member's own, by up to 1% fast or slow."""
+    """One clock per member, fast or slow by up to `drift`."""
 
     def __init__(self, rng: random.Random, drift: float) -> None:
-        self._rates = [1 + rng.uniform(-drift, drift) for _ in (*SEATS, *OTHERS)]
+        self._rates = [1 + rng.uniform(-drift, drift) for _ in (*VOTERS, *TRACKERS)]
 
     def now(self, member: int, true_ns: int) -> int:
         return int(true_ns * self._rates[member])
@@ -43,146 +43,155 @@
 
 def play(
     seed: int,
-    kind: type[Follower] = Follower,
+    kind: type[LeaderTracker] = LeaderTracker,
     *,
     steps: int = 3000,
-    lose: float = 0.1,
-    late_ms: float = 25,
+    loss_rate: float = 0.1,
+    mean_delay_ms: float = 25,
     crashes: float = 0.001,
     drift: float = 0.0,
     term: int = TERM,
-) -> Played:
-    """Three seats and three without one, whose words are lost, doubled and late; any may start again blank."""
-    rng, now, played = random.Random(seed), 0, Played()
+) -> Result:
+    """Three voters and three trackers; messages are lost, duplicated and late, and voters restart without state."""
+    rng, now, result = random.Random(seed), 0, Result()
     clocks = Clocks(rng, drift)
-    seats = {i: Seat(i, SEATS, term, random.Random(rng.random()), 0) for i in SEATS}
-    others = {i: kind(i, SEATS, term, random.Random(rng.random()), 0) for i in OTHERS}
-    on_way: list[tuple[int, int, int, object]] = []
+    voters = {number: Voter(number, VOTERS, term, random.Random(rng.random()), 0) for number in VOTERS}
+    trackers = {number: kind(number, VOTERS, term, random.Random(rng.random()), 0) for number in TRACKERS}
+    in_flight: list[tuple[int, int, int, object]] = []
 
-    def send(sender: int, to: int, word: object) -> None:
+    def send(sender: int, to: int, message: object) -> None:
         for _ in range(1 + (rng.random() < 0.1)):
-            if rng.random() >= lose:
-                on_way.append((now + int(rng.expovariate(1 / late_ms) * MS), sender, to, word))
+            if rng.random() >= loss_rate:
+                in_flight.append((now + int(rng.expovariate(1 / mean_delay_ms) * MS), sender, to, message))
 
     for _ in range(steps):
         now += STEP_NS
-        for due in [w for w in on_way if w[0] <= now]:
-            on_way.remove(due)
-            _, sender, to, word = due
-            own = clocks.now(to, now)
-            if to in others:
-                assert isinstance(word, Word)
-                others[to].heard(sender, word, own)
-            elif isinstance(word, Word):
-                send(to, sender, leader_query.answer(seats[to], word, own))
+        for due in [item for item in in_flight if item[0] <= now]:
+            in_flight.remove(due)
+            _, sender, to, message = due
+            local_ns = clocks.now(to, now)
+            if to in trackers:
+                assert isinstance(message, LeaderMessage)
+                trackers[to].receive(sender, message, local_ns)
+            elif isinstance(message, LeaderMessage):
+                send(to, sender, leader_query.answer_query(voters[to], message, local_ns))
             else:
-                seats[to].heard(sender, word, own)  # type: ignore[arg-type]
+                voters[to].receive(sender, message, local_ns)  # type: ignore[arg-type]
         if rng.random() < crashes:
-            i = rng.choice([*SEATS])
-            seats[i] = Seat(i, SEATS, term, random.Random(rng.random()), clocks.now(i, now))
-        members: list[tuple[int, Seat | Follower]] = [*seats.items(), *others.items()]
-        for i, member in members:
-            if clocks.now(i, now) >= member.due_ns:
-                member.tick(clocks.now(i, now))
-            for to, said in member.out:
-                send(i, to, said)
-            played.asked += len(member.out) if i in others else 0
-            member.out.clear()
-        leaders = [i for i, s in seats.items() if s.leads(clocks.now(i, now))]
-        for i, o in others.items():
-            believed = o.leader(clocks.now(i, now))
-            played.instants += 1
-            played.known += believed is not None
+            number = rng.choice([*VOTERS])
+            voters[number] = Voter(number, VOTERS, term, random.Random(rng.random()), clocks.now(number, now))
+        members: list[tuple[int, Voter | LeaderTracker]] = [*voters.items(), *trackers.items()]
+        for number, member in members:
+            if clocks.now(number, now) >= member.due_ns:
+                member.tick(clocks.now(number, now))
+            for to, sent in member.outbox:
+                send(number, to, sent)
+            result.queries += len(member.outbox) if number in trackers else 0
+            member.outbox.clear()
+        leaders = [number for number, voter in voters.items() if voter.is_leader(clocks.now(number, now))]
+        for number, tracker in trackers.items():
+            believed = tracker.leader(clocks.now(number, now))
+            result.samples += 1
+            result.known += believed is not None
             if believed is not None:
-                played.astray += any(leader != believed for leader in leaders) or (not crashes and not leaders)
-    return played
+                result.wrong += any(leader != believed for leader in leaders) or (not crashes and not leaders)
+    return result
 
 
 def test_nobody_without_a_seat_names_one_while_another_leads() -> None:
-    known = instants = 0
+    known = samples = 0
     for seed in range(60):
-        played = play(seed, drift=0.01, late_ms=60, crashes=0.001 * (seed % 2), lose=0.1 * (seed % 3))
-        assert played.astray == 0, seed
-        known, instants = known + played.known, instants + played.instants
-    assert known > 0.4 * instants
+        result = play(seed, drift=0.01, mean_delay_ms=60, crashes=0.001 * (seed % 2), loss_rate=0.1 * (seed % 3))
+        assert result.wrong == 0, seed
+        known, samples = known + result.known, samples + result.samples
+    assert known > 0.4 * samples
 
 
-class FromTheAnswer(Follower):
-    """What is believed is reckoned from when the answer came."""
+class CountsFromAnswer(LeaderTracker):
+    """The remaining lease is counted from when the answer came."""
 
-    def heard(self, sender: int, word: Word, now: int) -> None:
-        asked = self._asked_ns
-        super().heard(sender, word, now)
-        if asked is not None and word.leads == sender == self._leader and word.question == self._question:
-            self._until_ns = now + word.rest_ms * MS
+    def receive(self, sender: int, message: LeaderMessage, now: int) -> None:
+        sent_ns = self._query_sent_ns
+        super().receive(sender, message, now)
+        if sent_ns is not None and message.leader == sender == self._leader and message.query_id == self._query_id:
+            self._valid_until_ns = now + message.remaining_ms * MS
 
 
-class AnyAnswer(Follower):
-    """An answer to any question counts, also one that was given up long ago."""
+class AcceptsStaleAnswers(LeaderTracker):
+    """An answer to any query counts, also to one that has timed out."""
 
-    def heard(self, sender: int, word: Word, now: int) -> None:
-        super().heard(sender, word._replace(question=self._question), now)
+    def receive(self, sender: int, message: LeaderMessage, now: int) -> None:
+        super().receive(sender, message._replace(query_id=self._query_id), now)
 
 
-class Hearsay(Follower):
-    """A seat's word on whom it takes to lead counts as the leader's own."""
+class TrustsRedirects(LeaderTracker):
+    """A voter's redirect counts as the leader's own answer."""
 
-    def heard(self, sender: int, word: Word, now: int) -> None:
-        if word.leads >= 0 and word.leads != sender and word.question == self._question and self._asked_ns is not None:
-            self._leader, self._until_ns = word.leads, now + TERM
-        super().heard(sender, word, now)
+    def receive(self, sender: int, message: LeaderMessage, now: int) -> None:
+        if (
+            message.leader >= 0
+            and message.leader != sender
+            and message.query_id == self._query_id
+            and self._query_sent_ns is not None
+        ):
+            self._leader, self._valid_until_ns = message.leader, now + TERM
+        super().receive(sender, message, now)
 
 
-@pytest.mark.parametrize("broken", [FromTheAnswer, AnyAnswer, Hearsay])
-def test_each_planted_fault_names_one_while_another_leads(broken: type[Follower]) -> None:
-    assert any(play(seed, broken, late_ms=60, lose=0.3, crashes=0.0, drift=0.01).astray for seed in range(60))
+@pytest.mark.parametrize("broken", [CountsFromAnswer, AcceptsStaleAnswers, TrustsRedirects])
+def test_each_planted_fault_names_one_while_another_leads(broken: type[LeaderTracker]) -> None:
+    assert any(play(seed, broken, mean_delay_ms=60, loss_rate=0.3, crashes=0.0, drift=0.01).wrong for seed in range(60))
 
 
 def test_the_leader_gets_about_one_question_of_each_in_a_term() -> None:
-    played = play(1, lose=0.0, late_ms=2, crashes=0.0, steps=12_000, term=3 * TERM)  # a minute
-    assert played.known > 0.9 * played.instants
-    assert played.asked / len(OTHERS) / (12_000 * STEP_NS / (3 * TERM)) < 1.7
+    result = play(1, loss_rate=0.0, mean_delay_ms=2, crashes=0.0, steps=12_000, term=3 * TERM)  # a minute
+    assert result.known > 0.9 * result.samples
+    assert result.queries / len(TRACKERS) / (12_000 * STEP_NS / (3 * TERM)) < 1.7
 
 
 def test_two_seats_that_name_one_another_are_not_asked_in_turns_without_pause() -> None:
-    follower, now, asked = Follower(9, (0, 1, 2), TERM, random.Random(1), 0), 0, 0
+    tracker, now, queries = LeaderTracker(9, (0, 1, 2), TERM, random.Random(1), 0), 0, 0
     while now < TERM:
-        follower.tick(now) if now >= follower.due_ns else None
-        while follower.out and asked < 100:
-            to, word = follower.out.pop()
-            asked += 1
-            follower.heard(to, Word(Kind.TOLD, word.question, 1 - to if to < 2 else 0), now)
+        tracker.tick(now) if now >= tracker.due_ns else None
+        while tracker.outbox and queries < 100:
+            to, message = tracker.outbox.pop()
+            queries += 1
+            tracker.receive(to, LeaderMessage(Kind.ANSWER, message.query_id, 1 - to if to < 2 else 0), now)
         now += MS
-    assert asked < 20
+    assert queries < 20
 
 
 def test_a_council_that_says_nothing_is_asked_with_pauses() -> None:
-    follower, now, asked = Follower(9, (0, 1, 2), TERM, random.Random(1), 0), 0, 0
+    tracker, now, queries = LeaderTracker(9, (0, 1, 2), TERM, random.Random(1), 0), 0, 0
     while now < 20 * TERM:
-        now = max(now, follower.due_ns)
-        follower.tick(now)
-        asked, follower.out = asked + len(follower.out), []
-    assert 60 < asked < 5.5 * 20  # 6.7 questions a second without a pause
+        now = max(now, tracker.due_ns)
+        tracker.tick(now)
+        queries, tracker.outbox = queries + len(tracker.outbox), []
+    assert 60 < queries < 5.5 * 20  # 6.7 queries a second without a pause
 
 
 def test_who_has_a_seat_or_no_council_follows_nobody() -> None:
     for council in ([], [0, 1, 2]):
         with pytest.raises(ValueError, match="council"):
-            Follower(0, council, TERM, random.Random(1), 0)
+            LeaderTracker(0, council, TERM, random.Random(1), 0)
 
 
-WORDS = st.builds(
-    Word, st.sampled_from(Kind), st.integers(0, 2**32 - 1), st.integers(-1, 2**16 - 2), st.integers(0, 2**32 - 1)
+MESSAGES = st.builds(
+    LeaderMessage,
+    st.sampled_from(Kind),
+    st.integers(0, 2**32 - 1),
+    st.integers(-1, 2**16 - 2),
+    st.integers(0, 2**32 - 1),
 )
 
 
 @settings(derandomize=True, deadline=None)
-@given(WORDS)
-def test_a_word_on_who_leads_is_read_as_it_was_written_and_cut_by_nobody(word: Word) -> None:
-    data = leader_query.written(word)
-    assert leader_query.read(data) == word and leader_query.is_following(data) and read_words(data) == []
+@given(MESSAGES)
+def test_a_word_on_who_leads_is_read_as_it_was_written_and_cut_by_nobody(message: LeaderMessage) -> None:
+    data = leader_query.encode(message)
+    assert leader_query.decode(data) == message and leader_query.is_leader_message(data) and read_words(data) == []
     for length in range(len(data)):
         with pytest.raises(BadMessage):
-            leader_query.read(data[:length])
+            leader_query.decode(data[:length])
     with pytest.raises(BadMessage):
-        election_wire.read(data)
+        election_wire.decode(data)
--- a/tests/cluster/test_who_is_there.py
+++ b/tests/cluster/test_who_is_there.py
@@ -1,4 +1,4 @@
-"""Who is there, by several processes of the program, with faults between them and in them."""
+"""Fleet membership with several balancer processes, with network and process faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.cluster.rig import ADMIN_HOST, cluster
 
 LIMIT_S = 60.0
-KNOWN_S = 12.0  # a death is known to all by then: at most 6.6 s of suspicion, and a look in each period before
+KNOWN_S = 12.0  # until all know a crash: at most 6.6 s of suspicion, after a probe in each period
 
 
 def all_say(state: str, of: int) -> object:
@@ -21,8 +21,8 @@
 def test_a_death_is_known_to_all_and_who_returns_blank_is_another_incarnation(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 5, seed=1) as fleet:
-            for way in fleet.links.ways.values():
-                way.lose, way.twice, way.late_s = 0.05, 0.1, (0.0, 0.05)
+            for link in fleet.relay.links.values():
+                link.loss_rate, link.duplicate_rate, link.delay_s = 0.05, 0.1, (0.0, 0.05)
             others = [0, 1, 3, 4]
             await fleet.until(
                 lambda views: all(s == "up" for v in views.values() for s, _ in v.values()), list(range(5)), 5.0
@@ -52,7 +52,7 @@
     async def test() -> None:
         async with cluster(tmp_path, 5, seed=2) as fleet:
             fleet.signal(3, signal.SIGSTOP)
-            await asyncio.sleep(1.0)  # how long it is frozen: no waiting for something
+            await asyncio.sleep(1.0)  # the length of the suspension; not a wait for a condition
             fleet.signal(3, signal.SIGCONT)
             await fleet.until(lambda views: all(v[3][0] == "up" for v in views.values()), list(range(5)), KNOWN_S)
             assert not any("balancer 3 is gone" in (tmp_path / f"{i}.log").read_text() for i in range(5))
@@ -66,9 +66,9 @@
 def test_a_side_cut_off_finds_back_and_stalled_words_of_before_count_for_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 5, seed=3) as fleet:
-            for (a, b), way in fleet.links.ways.items():
+            for (a, b), link in fleet.relay.links.items():
                 if (a < 2) != (b < 2):
-                    way.stalled = True
+                    link.stalled = True
             await fleet.until(
                 lambda views: all(
                     (v[j][0] == "gone") is ((i < 2) != (j < 2)) for i, v in views.items() for j in range(5)
@@ -76,7 +76,7 @@
                 list(range(5)),
                 20.0,
             )
-            fleet.links.let_go()
+            fleet.relay.release()
             await fleet.until(
                 lambda views: all(s == "up" for v in views.values() for s, _ in v.values()), list(range(5)), 20.0
             )
@@ -85,7 +85,7 @@
 
 
 def test_a_balancer_without_fleet_among_others_harms_nobody(tmp_path: Path) -> None:
-    """As one of the last version: it reads none of it."""
+    """It behaves like one of the previous version, which reads none of these messages."""
 
     async def test() -> None:
         async with cluster(tmp_path, 3, seed=4) as fleet:
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -1,4 +1,4 @@
-"""Who is there: deaths, returns, cuts and standstills, and words in any order."""
+"""Fleet membership: crashes, restarts, partitions and suspended processes, and messages in any order."""
 
 from __future__ import annotations
 
@@ -8,21 +8,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanemux.fleet.members import CONFIRMED, PERIOD_NS, RETOLD, Members
-from lanemux.fleet.wire import MAX_NUMBER, MOST_NEWS, NOBODY, Kind, Message, News, Status, read
+from lanemux.fleet.members import MAX_CONFIRMATIONS, PERIOD_NS, RETRANSMIT_FACTOR, Members
+from lanemux.fleet.wire import MAX_NUMBER, MAX_UPDATES, NO_MEMBER, Kind, Message, Status, Update, decode
 from tests.peers import SECOND, Peers
 
 SEEDS = range(1, 9)
 UP, SUSPECTED, LEAVING, GONE = Status
 
 
-def said(*news: News, incarnation: int = 0, you: Status = UP, yours: int = 0) -> bytes:
-    return Message(Kind.HERE, 7, incarnation, you, yours, 0, NOBODY, news).data()
+def encoded(
+    *updates: Update, incarnation: int = 0, status_of_receiver: Status = UP, incarnation_of_receiver: int = 0
+) -> bytes:
+    return Message(
+        Kind.ACK, 7, incarnation, status_of_receiver, incarnation_of_receiver, 0, NO_MEMBER, updates
+    ).encode()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_all_know_a_death_and_nobody_else_is_called_gone(seed: int) -> None:
-    peers = Peers(12, seed, lose=0.05)
+    peers = Peers(12, seed, loss_rate=0.05)
     peers.run(10)
     peers.kill(5)
     peers.run(15)
@@ -36,7 +40,7 @@
     peers.kill(3)
     peers.run(20)
     assert set(peers.views(3)) == {GONE}
-    peers.start(3)  # its own incarnation is lost
+    peers.start(3)  # without its former incarnation
     peers.run(8)
     assert set(peers.views(3)) == {UP}
     assert peers.members[3].incarnation > 0 and peers.members[0].members[3].incarnation == peers.members[3].incarnation
@@ -44,7 +48,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_who_leaves_in_order_is_known_to_within_two_periods_and_suspected_by_nobody(seed: int) -> None:
-    peers = Peers(12, seed, lose=0.0)
+    peers = Peers(12, seed, loss_rate=0.0)
     peers.run(5)
     at = peers.now
     peers.members[4].leave()
@@ -68,17 +72,17 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nobody_in_a_sound_fleet_takes_itself_to_be_slow(seed: int) -> None:
-    peers = Peers(12, seed, lose=0.0)
+    peers = Peers(12, seed, loss_rate=0.0)
     for _ in range(60):
         peers.run(0.5)
-        assert {m.ill for m in peers.members.values()} == {0}
+        assert {member.slowness for member in peers.members.values()} == {0}
 
 
 def test_who_stood_still_feels_it_and_holds_nobodys_silence_against_them() -> None:
     me = Members(0, 3, random.Random(1), SECOND)
-    me.tick(me.due_ns)  # a look is out
+    me.tick(me.due_ns)  # a probe is outstanding
     me.tick(me.due_ns + 3 * SECOND)
-    assert me.ill == 1 and all(m.standing is UP for m in me.members.values())
+    assert me.slowness == 1 and all(member.status is UP for member in me.members.values())
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -87,7 +91,7 @@
     peers.cut = lambda a, b: a == 6
     peers.run(25)
     assert set(peers.views(6)) == {GONE}
-    assert all(m.standing is UP for n, m in peers.members[0].members.items() if n != 6)
+    assert all(member.status is UP for number, member in peers.members[0].members.items() if number != 6)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -95,15 +99,15 @@
     peers = Peers(9, seed)
     peers.cut = lambda a, b: (a < 3) != (b < 3)
     peers.run(30)
-    assert set(peers.members[0].up()) == {0, 1, 2} and set(peers.members[8].up()) == set(range(3, 9))
+    assert set(peers.members[0].alive()) == {0, 1, 2} and set(peers.members[8].alive()) == set(range(3, 9))
     peers.cut = lambda a, b: False
     peers.run(25)
-    assert all(m.up() == list(range(9)) for m in peers.members.values())
+    assert all(member.alive() == list(range(9)) for member in peers.members.values())
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_way_cut_between_two_alone_is_no_death_since_others_look_too(seed: int) -> None:
-    peers = Peers(8, seed, lose=0.0)
+    peers = Peers(8, seed, loss_rate=0.0)
     peers.cut = lambda a, b: {a, b} == {1, 2}
     peers.run(40)
     assert not [seen for seen in peers.seen if seen[3] is GONE]
@@ -111,55 +115,65 @@
 
 def test_words_late_twice_and_out_of_order_change_nothing_in_the_end() -> None:
     for seed in SEEDS:
-        peers = Peers(8, seed, twice=0.5, latest_ns=10 * SECOND)  # nearly every question is answered too late
+        peers = Peers(8, seed, duplicate_rate=0.5, max_delay_ns=10 * SECOND)  # nearly every answer comes too late
         peers.run(5)
         peers.kill(3)
         peers.run(60)
-        peers.latest_ns, peers.twice = 33 * 10**6, 0.0
+        peers.max_delay_ns, peers.duplicate_rate = 33 * 10**6, 0.0
         peers.run(45)
-        tables = [{n: m.word for n, m in me.members.items()} for me in peers.members.values()]
+        tables = [{number: member.version for number, member in me.members.items()} for me in peers.members.values()]
         for i, me in peers.members.items():
-            assert me.members[3].standing is GONE
-            assert all(t[i] == (me.incarnation, UP) for t in tables if i in t)
+            assert me.members[3].status is GONE
+            assert all(table[i] == (me.incarnation, UP) for table in tables if i in table)
 
 
-NEWS = st.lists(
-    st.builds(News, st.integers(1, 4), st.sampled_from(Status), st.integers(0, 5), st.integers(0, 4)),
+UPDATES = st.lists(
+    st.builds(Update, st.integers(1, 4), st.sampled_from(Status), st.integers(0, 5), st.integers(0, 4)),
     min_size=1,
     max_size=12,
 )
 
 
 @settings(derandomize=True, deadline=None)
-@given(NEWS, st.randoms(use_true_random=False))
-def test_the_same_words_in_any_order_and_number_end_in_the_same_table(news: list[News], rng: random.Random) -> None:
+@given(UPDATES, st.randoms(use_true_random=False))
+def test_the_same_words_in_any_order_and_number_end_in_the_same_table(
+    updates: list[Update], rng: random.Random
+) -> None:
     tables = []
     for _ in range(3):
         me = Members(0, 5, random.Random(1), SECOND)
-        for word in [*news, *rng.sample(news, len(news) // 2)]:
-            me.heard(1, said(word), SECOND)
-        tables.append([m.word for m in me.members.values()])
-        rng.shuffle(news)
+        for update in [*updates, *rng.sample(updates, len(updates) // 2)]:
+            me.receive(1, encoded(update), SECOND)
+        tables.append([member.version for member in me.members.values()])
+        rng.shuffle(updates)
     assert tables[0] == tables[1] == tables[2]
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.sampled_from([SUSPECTED, GONE, LEAVING]), st.integers(0, 2**32 - 2), st.booleans())
-def test_who_is_called_gone_answers_with_a_later_incarnation(standing: Status, theirs: int, by_news: bool) -> None:
+def test_who_is_called_gone_answers_with_a_later_incarnation(
+    status: Status, their_incarnation: int, by_news: bool
+) -> None:
     me = Members(0, 3, random.Random(1), SECOND)
-    me.heard(1, said(News(0, standing, theirs, 2)) if by_news else said(you=standing, yours=theirs), SECOND)
-    assert me.incarnation == theirs + 1
-    me.heard(1, said(you=standing, yours=theirs), SECOND)
-    assert me.incarnation == theirs + 1  # the old word counts for nothing
+    me.receive(
+        1,
+        encoded(Update(0, status, their_incarnation, 2))
+        if by_news
+        else encoded(status_of_receiver=status, incarnation_of_receiver=their_incarnation),
+        SECOND,
+    )
+    assert me.incarnation == their_incarnation + 1
+    me.receive(1, encoded(status_of_receiver=status, incarnation_of_receiver=their_incarnation), SECOND)
+    assert me.incarnation == their_incarnation + 1  # the repeated older claim has no effect
 
 
 def test_suspicion_is_shorter_the_more_others_suspect_too() -> None:
     ends = []
-    for doubters in range(1, CONFIRMED + 1):
+    for reporters in range(1, MAX_CONFIRMATIONS + 1):
         me = Members(0, 12, random.Random(1), SECOND)
-        for by in range(doubters):
-            me.heard(1, said(News(5, SUSPECTED, 0, 6 + by)), SECOND)
-        ends.append(me._ends_ns(me.members[5]) - SECOND)
+        for reporter in range(reporters):
+            me.receive(1, encoded(Update(5, SUSPECTED, 0, 6 + reporter)), SECOND)
+        ends.append(me._suspicion_end_ns(me.members[5]) - SECOND)
     assert ends == sorted(ends, reverse=True) and ends[-1] < ends[0] / 2
 
 
@@ -169,31 +183,33 @@
         peers = Peers(count, 1)
         peers.run(20)
         sent[count] = (peers.sent / count / 20, peers.sent_bytes / count / 20)
-    assert max(m for m, _ in sent.values()) < 6 and sent[192][1] < 2 * sent[12][1]
+    assert max(messages for messages, _ in sent.values()) < 6 and sent[192][1] < 2 * sent[12][1]
 
 
 def test_news_are_told_so_many_times_and_no_message_is_too_long() -> None:
     me = Members(0, 200, random.Random(1), SECOND)
-    for n in range(2, 200):
-        me.heard(1, said(News(n, GONE, 3, 1)), SECOND)
-    me.out.clear()
+    for number in range(2, 200):
+        me.receive(1, encoded(Update(number, GONE, 3, 1)), SECOND)
+    me.outbox.clear()
     now, told = SECOND, 0
     for _ in range(400):
         now = me.due_ns
         me.tick(now)
-        told += sum(len(read(data).news) for _, data in me.out)
-        assert all(len(data) <= 256 and len(read(data).news) <= MOST_NEWS for _, data in me.out)
-        me.out.clear()
-    # All that is news is told on as often as it is to be, and no oftener; the rest is tables.
-    assert not me._fresh and all(m.told == RETOLD * 8 for n, m in me.members.items() if n > 1)
+        told += sum(len(decode(data).updates) for _, data in me.outbox)
+        assert all(len(data) <= 256 and len(decode(data).updates) <= MAX_UPDATES for _, data in me.outbox)
+        me.outbox.clear()
+    # Each update is passed on exactly as often as intended; all other updates belong to table exchanges.
+    assert not me._gossip_queue and all(
+        member.transmissions == RETRANSMIT_FACTOR * 8 for number, member in me.members.items() if number > 1
+    )
 
 
 def test_what_is_no_message_or_of_nobody_is_counted_and_changes_nothing() -> None:
     me = Members(0, 3, random.Random(1), SECOND)
-    before = [m.word for m in me.members.values()]
-    me.heard(1, b"\xf1\x01", SECOND)
-    me.heard(9, said(News(1, GONE, 9, 2)), SECOND)
-    assert me.bad == 2 and [m.word for m in me.members.values()] == before
+    before = [member.version for member in me.members.values()]
+    me.receive(1, b"\xf1\x01", SECOND)
+    me.receive(9, encoded(Update(1, GONE, 9, 2)), SECOND)
+    assert me.unreadable == 2 and [member.version for member in me.members.values()] == before
     with pytest.raises(ValueError, match="allowed are"):
         Members(3, 3, random.Random(1), SECOND)
     with pytest.raises(ValueError, match="allowed are"):
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,6 +1,6 @@
-"""Balancers that tell one another who is there, on a virtual clock, with a network that drops, doubles and delays.
+"""Simulated fleet of membership state machines on a virtual clock, with a network that drops, duplicates and delays.
 
-It shares nothing with the state machine: it carries bytes, and notes when each view changed.
+It shares no code with the state machine: it carries datagrams, and records when each view changed.
 """
 
 from __future__ import annotations
@@ -17,28 +17,30 @@
 
 
 class Peers:
-    """So many members; `run` lets time go by."""
+    """`count` members; `run` advances the virtual clock."""
 
-    def __init__(self, count: int, seed: int, lose: float = 0.02, twice: float = 0.0, latest_ns: int = 33 * MS) -> None:
+    def __init__(
+        self, count: int, seed: int, loss_rate: float = 0.02, duplicate_rate: float = 0.0, max_delay_ns: int = 33 * MS
+    ) -> None:
         self.rng = random.Random(seed)
-        self.lose, self.twice, self.latest_ns = lose, twice, latest_ns
+        self.loss_rate, self.duplicate_rate, self.max_delay_ns = loss_rate, duplicate_rate, max_delay_ns
         self.now = SECOND
-        self.slow: dict[int, float] = {}  # member: share of the time for which it stands still, half a second at once
-        self.cut: Callable[[int, int], bool] = lambda a, b: False  # is the way from a to b cut now?
+        self.slow: dict[int, float] = {}  # member: share of time in which it is suspended, half a second each
+        self.cut: Callable[[int, int], bool] = lambda a, b: False  # whether datagrams from a to b are lost now
         self.sent, self.sent_bytes = 0, 0
-        self.seen: list[tuple[int, int, int, Status]] = []  # when, who, of whom, what
-        self._agenda: list[tuple[int, int, Callable[[], None]]] = []
+        self.seen: list[tuple[int, int, int, Status]] = []  # time, observer, member, its new status
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
-        self._until: dict[int, int] = {}  # it stands still until then
+        self._until: dict[int, int] = {}  # suspended until then
         self._ticks: dict[int, int] = {}
         self.members: dict[int, Members] = {}
         self.total = count
         for i in range(count):
             self.start(i)
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
+    def at(self, time_ns: int, what: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._agenda, (when, self._count, what))
+        heapq.heappush(self._events, (time_ns, self._count, what))
 
     def start(self, i: int, incarnation: int = 0) -> None:
         self.members[i] = Members(i, self.total, random.Random(self.rng.random()), self.now, incarnation)
@@ -52,16 +54,16 @@
 
     def run(self, seconds: float) -> None:
         end = self.now + int(seconds * SECOND)
-        while self._agenda and self._agenda[0][0] <= end:
-            self.now, _, what = heapq.heappop(self._agenda)
+        while self._events and self._events[0][0] <= end:
+            self.now, _, what = heapq.heappop(self._events)
             what()
         self.now = end
 
     def views(self, of: int) -> list[Status]:
-        return [m.members[of].standing for i, m in self.members.items() if i != of]
+        return [member.members[of].status for i, member in self.members.items() if i != of]
 
     def _awake(self, i: int, what: Callable[[], None]) -> bool:
-        """False: it stands still, and this comes to it when it goes on."""
+        """False if the member is suspended; the event is then rescheduled for its end."""
         if i in self.slow and self._until.get(i, 0) <= self.now and self.rng.random() < self.slow[i] / 10:
             self._until[i] = self.now + SECOND // 2
         if self._until.get(i, 0) > self.now:
@@ -78,20 +80,20 @@
 
     def _heard(self, i: int, sender: int, data: bytes) -> None:
         if i in self.members and self._awake(i, lambda: self._heard(i, sender, data)):
-            self.members[i].heard(sender, data, self.now)
+            self.members[i].receive(sender, data, self.now)
             self._after(i)
 
     def _after(self, i: int) -> None:
         me = self.members[i]
-        for to, data in me.out:
+        for to, data in me.outbox:
             self.sent += 1
             self.sent_bytes += len(data)
-            for _ in range(1 + (self.rng.random() < self.twice)):
-                if self.rng.random() >= self.lose and not self.cut(i, to):
-                    late = self.rng.randrange(MS, self.latest_ns)
+            for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
+                if self.rng.random() >= self.loss_rate and not self.cut(i, to):
+                    late = self.rng.randrange(MS, self.max_delay_ns)
                     self.at(self.now + late, lambda to=to, data=data: self._heard(to, i, data))  # type: ignore[misc]
-        me.out.clear()
-        self.seen += [(self.now, i, c.number, c.standing) for c in me.changes]
+        me.outbox.clear()
+        self.seen += [(self.now, i, change.number, change.status) for change in me.changes]
         me.changes.clear()
         due = max(me.due_ns, self.now + 1)
         if self._ticks.get(i) != due:
