--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(("make_start", "depth"), [(idle, 7), (proposed, 6), (with_leader, 6)])
-def test_no_order_of_lateness_doubling_crash_amnesia_and_expiry_makes_two_leaders(
+def test_no_order_of_delay_duplication_crash_state_loss_and_expiry_gives_two_leaders(
     make_start: explorer.MakeVoter, depth: int
 ) -> None:
     found = explore(depth, make_start=make_start)  # type: ignore[arg-type]
@@ -86,7 +86,7 @@
         (LeaseTooLong, with_leader, 8, 0),
     ],
 )
-def test_each_planted_fault_makes_two_leaders(
+def test_each_planted_fault_gives_two_leaders(
     broken: type[Voter], make_start: explorer.MakeVoter, depth: int, crashes: int
 ) -> None:
     def make(number: int, now: int, may_have_voted: bool) -> Voter:
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("council", [1, 3, 5, 7])
-def test_somebody_leads_most_of_the_time_and_never_two(council: int) -> None:
+def test_there_is_a_leader_most_of_the_time_and_never_two(council: int) -> None:
     for seed in range(10):
         rng = random.Random(seed)
         voters = {i: Voter(i, range(council), 1000 * MS, random.Random(rng.random()), 0) for i in range(council)}
@@ -131,19 +131,19 @@
         assert led_steps > 0.6 * of
 
 
-def test_a_leader_that_stood_still_leads_no_longer_when_it_wakes() -> None:
+def test_a_suspended_leader_has_lost_its_lease_when_it_resumes() -> None:
     voter = Voter(0, [0], 1000 * MS, random.Random(1), 0, may_have_voted=False)
     voter.start_round(0)
     assert voter.is_leader(900 * MS) and not voter.is_leader(10_000 * MS)
 
 
-def test_a_council_that_cannot_be_is_refused() -> None:
+def test_an_invalid_council_is_rejected() -> None:
     for council in ([0, 1], [1, 2, 3]):
         with pytest.raises(ValueError, match="council"):
             Voter(0, council, MS, random.Random(1), 0)
 
 
-def test_who_has_no_seat_is_not_heard() -> None:
+def test_messages_of_a_sender_that_is_no_voter_are_ignored() -> None:
     voter = Voter(0, [0, 1, 2], 1000 * MS, random.Random(1), 0, may_have_voted=False)
     voter.receive(7, ElectionMessage(MessageKind.PREPARE, Ballot(9, 7, 1)), 0)
     assert voter.outbox == [] and voter.promised_ballot == election.NO_BALLOT
@@ -160,7 +160,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(MESSAGES)
-def test_a_word_between_seats_is_read_as_it_was_written_and_cut_by_nobody(message: ElectionMessage) -> None:
+def test_an_election_message_round_trips_and_is_rejected_if_truncated(message: ElectionMessage) -> None:
     data = election_wire.encode(message)
     assert election_wire.decode(data) == message and election_wire.is_election_message(data) and read_words(data) == []
     for length in range(len(data)):
@@ -170,7 +170,7 @@
         wire.decode(data)
 
 
-def test_one_of_three_processes_leads_and_another_after_it_was_frozen_which_leads_no_more(tmp_path: Path) -> None:
+def test_one_of_three_processes_leads_and_another_takes_over_when_it_is_suspended(tmp_path: Path) -> None:
     async def test() -> None:
         operators = "[fleet]\ncouncil = [0, 1, 2]\nlease_ms = 1000\n"
         async with cluster(tmp_path, 4, seed=5, operators=operators) as fleet:
--- a/tests/cluster/test_following.py
+++ b/tests/cluster/test_following.py
@@ -98,7 +98,7 @@
     return result
 
 
-def test_nobody_without_a_seat_names_one_while_another_leads() -> None:
+def test_no_tracker_names_a_leader_while_another_one_leads() -> None:
     known = samples = 0
     for seed in range(60):
         result = play(seed, drift=0.01, mean_delay_ms=60, crashes=0.001 * (seed % 2), loss_rate=0.1 * (seed % 3))
@@ -139,17 +139,17 @@
 
 
 @pytest.mark.parametrize("broken", [CountsFromAnswer, AcceptsStaleAnswers, TrustsRedirects])
-def test_each_planted_fault_names_one_while_another_leads(broken: type[LeaderTracker]) -> None:
+def test_each_planted_fault_names_a_leader_while_another_one_leads(broken: type[LeaderTracker]) -> None:
     assert any(play(seed, broken, mean_delay_ms=60, loss_rate=0.3, crashes=0.0, drift=0.01).wrong for seed in range(60))
 
 
-def test_the_leader_gets_about_one_question_of_each_in_a_term() -> None:
+def test_the_leader_gets_about_one_query_per_tracker_and_term() -> None:
     result = play(1, loss_rate=0.0, mean_delay_ms=2, crashes=0.0, steps=12_000, term=3 * TERM)  # a minute
     assert result.known > 0.9 * result.samples
     assert result.queries / len(TRACKERS) / (12_000 * STEP_NS / (3 * TERM)) < 1.7
 
 
-def test_two_seats_that_name_one_another_are_not_asked_in_turns_without_pause() -> None:
+def test_two_voters_that_name_one_another_are_not_queried_in_a_tight_loop() -> None:
     tracker, now, queries = LeaderTracker(9, (0, 1, 2), TERM, random.Random(1), 0), 0, 0
     while now < TERM:
         tracker.tick(now) if now >= tracker.due_ns else None
@@ -161,7 +161,7 @@
     assert queries < 20
 
 
-def test_a_council_that_says_nothing_is_asked_with_pauses() -> None:
+def test_a_silent_council_is_queried_with_pauses() -> None:
     tracker, now, queries = LeaderTracker(9, (0, 1, 2), TERM, random.Random(1), 0), 0, 0
     while now < 20 * TERM:
         now = max(now, tracker.due_ns)
@@ -170,7 +170,7 @@
     assert 60 < queries < 5.5 * 20  # 6.7 queries a second without a pause
 
 
-def test_who_has_a_seat_or_no_council_follows_nobody() -> None:
+def test_a_tracker_rejects_its_own_or_an_empty_council() -> None:
     for council in ([], [0, 1, 2]):
         with pytest.raises(ValueError, match="council"):
             LeaderTracker(0, council, TERM, random.Random(1), 0)
@@ -187,7 +187,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(MESSAGES)
-def test_a_word_on_who_leads_is_read_as_it_was_written_and_cut_by_nobody(message: LeaderMessage) -> None:
+def test_a_leader_message_round_trips_and_is_rejected_if_truncated(message: LeaderMessage) -> None:
     data = leader_query.encode(message)
     assert leader_query.decode(data) == message and leader_query.is_leader_message(data) and read_words(data) == []
     for length in range(len(data)):
--- a/tests/cluster/test_who_is_there.py
+++ b/tests/cluster/test_who_is_there.py
@@ -18,7 +18,7 @@
     return lambda views: all(v[of][0] == state for i, v in views.items() if i != of)
 
 
-def test_a_death_is_known_to_all_and_who_returns_blank_is_another_incarnation(tmp_path: Path) -> None:
+def test_all_detect_a_crash_and_a_restart_has_a_higher_incarnation(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 5, seed=1) as fleet:
             for link in fleet.relay.links.values():
@@ -48,7 +48,7 @@
     asyncio.run(asyncio.wait_for(test(), LIMIT_S))
 
 
-def test_one_frozen_for_a_second_is_called_gone_by_nobody_and_one_that_leaves_is_known_at_once(tmp_path: Path) -> None:
+def test_a_process_suspended_for_a_second_is_not_gone_and_a_leave_spreads_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 5, seed=2) as fleet:
             fleet.signal(3, signal.SIGSTOP)
@@ -63,7 +63,7 @@
     asyncio.run(asyncio.wait_for(test(), LIMIT_S))
 
 
-def test_a_side_cut_off_finds_back_and_stalled_words_of_before_count_for_nothing(tmp_path: Path) -> None:
+def test_a_partition_heals_and_delayed_messages_from_before_have_no_effect(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 5, seed=3) as fleet:
             for (a, b), link in fleet.relay.links.items():
@@ -84,7 +84,7 @@
     asyncio.run(asyncio.wait_for(test(), LIMIT_S))
 
 
-def test_a_balancer_without_fleet_among_others_harms_nobody(tmp_path: Path) -> None:
+def test_a_balancer_without_fleet_does_not_disturb_the_others(tmp_path: Path) -> None:
     """It behaves like one of the previous version, which reads none of these messages."""
 
     async def test() -> None:
--- a/tests/etcd/test_drains.py
+++ b/tests/etcd/test_drains.py
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize(("cancelled", "rounds"), [(True, ROUNDS), (False, 1)])
-def test_no_request_goes_to_a_box_late_only_because_those_that_wait_are_called_off(
+def test_no_request_reaches_a_box_late_only_because_waiting_ones_are_cancelled(
     monkeypatch: pytest.MonkeyPatch, cancelled: bool, rounds: int
 ) -> None:
     async def test() -> None:
--- a/tests/etcd/test_histories.py
+++ b/tests/etcd/test_histories.py
@@ -279,16 +279,16 @@
 
 
 @pytest.mark.parametrize("part", range(10))
-def test_after_any_history_the_list_is_the_stores(part: int) -> None:
+def test_after_any_history_the_list_equals_the_store(part: int) -> None:
     wrong = [seed for seed in range(part, HISTORIES, 10) if not play(seed).matches_store()]
     assert not wrong, f"seeds {wrong[:10]}"
 
 
-def test_a_history_is_the_same_every_time() -> None:
+def test_a_history_is_deterministic() -> None:
     assert [play(17).actions == play(17).actions, play(17).calls == play(17).calls] == [True, True]
 
 
-def test_no_fault_makes_the_follower_ask_in_a_tight_loop() -> None:
+def test_no_fault_makes_the_follower_call_in_a_tight_loop() -> None:
     # Guards against a store that rejects every call at once.
     for refusal in (f.WatchCancelled("no leader"), f.WatchCancelled("", 5), f.Failed("refused")):
         world = World(3)
@@ -318,7 +318,7 @@
     return queue
 
 
-def test_what_ends_or_drains_is_told_ahead_of_the_burst_around_it() -> None:
+def test_removals_and_drains_are_delivered_ahead_of_the_burst_around_them() -> None:
     queue = known("a", "b", "c")
     burst = [f.KeyValue(b"/boxes/new-%04d" % i, row(), 3 + i) for i in range(5000)]
     queue.add_changes(
@@ -334,14 +334,14 @@
     assert queue.pending == 5000 and len(queue.take(32, 1)) == 32
 
 
-def test_one_that_is_made_anew_within_a_batch_is_gone_first() -> None:
+def test_a_host_recreated_within_a_batch_is_removed_first() -> None:
     queue = known("a")
     queue.add_changes([f.KeyValue(b"/boxes/a", None, 5), f.KeyValue(b"/boxes/a", row(dial="127.0.0.1:2"), 6)])
     assert [e.upstream.state for e in queue.take(100, 1)] == [api.State.GONE]
     assert [e.address for e in queue.take(100, 1)] == [("127.0.0.1", 2)]
 
 
-def test_a_drain_that_is_taken_back_within_a_batch_is_not_told() -> None:
+def test_a_drain_withdrawn_within_a_batch_is_not_delivered() -> None:
     queue = known("a")
     queue.add_changes([f.KeyValue(b"/boxes/a", row(health="draining"), 5), f.KeyValue(b"/boxes/a", row(site="w"), 6)])
     assert [(e.upstream.state, e.upstream.zone) for e in queue.take(100, 1)] == [(api.State.READY, "w")]
@@ -362,7 +362,7 @@
         b'{"pad": "' + b"x" * 70_000 + b'"}',
     ],
 )
-def test_a_value_that_cannot_be_read_leaves_the_old_row(value: bytes) -> None:
+def test_an_invalid_value_keeps_the_old_row(value: bytes) -> None:
     queue = known("a", "b")
     queue.add_changes([f.KeyValue(b"/boxes/a", value, 5), f.KeyValue(b"/boxes/b", row(health="draining"), 6)])
     delivered = [e for _ in range(2) for e in queue.take(100, 1)]
@@ -373,13 +373,13 @@
 @pytest.mark.parametrize(
     "key", [b"/boxes/", b"/boxes/a/b", b"/boxes/\xff", b"/other/a", b"/boxes/a\n", b"/boxes/" + b"x" * 300]
 )
-def test_a_key_outside_the_form_is_left_out(key: bytes) -> None:
+def test_an_invalid_key_is_ignored(key: bytes) -> None:
     queue = known("a")
     queue.add_changes([f.KeyValue(key, row(dial="127.0.0.1:2"), 5), f.KeyValue(key, None, 6)])
     assert not queue.pending and queue._membership.hosts == {"a"}
 
 
-def test_what_a_list_does_not_name_is_gone_but_in_doubt_after_a_backup_was_restored() -> None:
+def test_unlisted_hosts_are_removed_but_only_after_a_delay_if_the_store_was_rolled_back() -> None:
     for rolled_back in (False, True):
         queue = known("a", "b")
         queue.begin_list()
@@ -393,7 +393,7 @@
         assert [e.upstream.state for e in queue.take(100, 1)] == ([api.State.GONE] if rolled_back else [])
 
 
-def test_a_doubt_outlasts_a_second_backup_also_for_one_that_waits_to_be_told() -> None:
+def test_a_delayed_removal_outlasts_a_second_rollback_also_for_an_undelivered_host() -> None:
     # Found by seed 2991: a host neither delivered yet nor listed lost its delayed removal, and stayed for ever.
     queue = known("a")
     queue.add_changes([f.KeyValue(b"/boxes/new", row(), 5)])
@@ -407,7 +407,7 @@
     assert [e.upstream.state for e in queue.take(9, 3)] == [api.State.GONE]
 
 
-def test_a_first_list_that_is_empty_does_not_empty_what_was_known_before() -> None:
+def test_an_empty_first_list_does_not_remove_known_hosts_at_once() -> None:
     membership = Membership(0)
     membership.take([{"host": "a", "dial": "127.0.0.1:1", "health": "up"}], True, 1)
     queue = ChangeQueue(membership, PREFIX)
@@ -420,7 +420,7 @@
     assert [e.upstream.state for e in queue.take(9, 1)] == [api.State.GONE]
 
 
-def test_a_store_without_end_keeps_no_more_than_the_limit() -> None:
+def test_an_endless_store_is_bounded_by_the_limit() -> None:
     queue = ChangeQueue(Membership(0), PREFIX)
     queue.add_changes([f.KeyValue(b"/boxes/%d" % i, b"{}", i + 1) for i in range(f.MAX_KEYS + 50)])
     assert queue.pending == f.MAX_KEYS
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -154,7 +154,7 @@
     return lambda: received.ports() == etcd.ports()
 
 
-def test_the_list_and_what_changes_in_it() -> None:
+def test_the_list_and_its_changes() -> None:
     async def test() -> None:
         server = StandIn(Store())
         async with following(server) as (etcd, received, _):
@@ -176,7 +176,7 @@
     run(test())
 
 
-def test_a_lost_watch_goes_on_from_what_was_known() -> None:
+def test_a_lost_watch_resumes_from_the_known_revision() -> None:
     async def test() -> None:
         async with watching(20) as (server, relay, etcd, received):
             for port in range(2, 6):
@@ -188,7 +188,7 @@
     run(test())
 
 
-def test_a_watch_whose_history_was_compacted_lists_anew_and_finds_what_has_gone() -> None:
+def test_a_watch_after_compaction_lists_again_and_finds_removals() -> None:
     async def test() -> None:
         async with watching(20) as (server, relay, etcd, received):
             relay.hold(True)
@@ -204,7 +204,7 @@
     run(test())
 
 
-def test_a_watch_that_is_open_and_silent_is_found_out() -> None:
+def test_a_watch_that_is_open_but_silent_is_detected() -> None:
     async def test() -> None:
         for silent in ("relay", "member"):
             server, relay = StandIn(Store()), Mangler(("", 0))
@@ -224,7 +224,7 @@
     run(test())
 
 
-def test_a_quiet_watch_is_asked_and_stays() -> None:
+def test_an_idle_watch_is_asked_for_progress_and_stays_open() -> None:
     async def test() -> None:
         server, relay = StandIn(Store()), Mangler(("", 0))
         server.store.write([(key("a"), row())])
@@ -271,7 +271,7 @@
     run(test())
 
 
-def test_a_member_that_is_gone_behind_or_without_leader_is_left_for_another() -> None:
+def test_a_stopped_member_is_replaced_by_another() -> None:
     async def test() -> None:
         store = Store()
         first, second = StandIn(store), StandIn(store)
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("fault", ["behind", "no leader", "lists refused"])
-def test_a_fault_of_one_member_costs_nothing_that_is_known(fault: str) -> None:
+def test_a_fault_of_one_member_loses_no_known_upstream(fault: str) -> None:
     async def test() -> None:
         store = Store()
         first, second = StandIn(store), StandIn(store)
@@ -316,7 +316,7 @@
     run(test())
 
 
-def test_another_cluster_keeps_sound_boxes_until_it_has_named_or_outlasted_them() -> None:
+def test_after_a_switch_of_cluster_unlisted_boxes_are_kept_for_a_while() -> None:
     async def test() -> None:
         server = StandIn(Store(1))
         server.store.write([(key("a"), row()), (key("b"), row())])
@@ -337,7 +337,7 @@
     run(test())
 
 
-def test_a_list_without_end_ends_and_a_message_too_large_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_endless_list_ends_and_an_oversized_message_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         server = StandIn(Store())
         server.store.write([(key("a"), row())])
@@ -355,7 +355,7 @@
     run(test())
 
 
-def test_a_token_that_has_run_out_is_renewed(tmp_path: Path) -> None:
+def test_an_expired_token_is_renewed(tmp_path: Path) -> None:
     async def test() -> None:
         password = tmp_path / "password"
         password.write_text("s3cret\n")
@@ -373,7 +373,7 @@
     run(test())
 
 
-def test_a_wrong_password_costs_nothing_but_tries(tmp_path: Path) -> None:
+def test_a_wrong_password_only_causes_retries(tmp_path: Path) -> None:
     async def test() -> None:
         password = tmp_path / "password"
         password.write_text("wrong")
@@ -389,7 +389,7 @@
     run(test())
 
 
-def test_a_burst_does_not_hold_up_the_loop_and_the_drain_in_it_comes_first() -> None:
+def test_a_burst_does_not_block_the_event_loop_and_a_drain_in_it_comes_first() -> None:
     async def test() -> None:
         server = StandIn(Store())
         server.faults.fragment = 1000
@@ -419,7 +419,7 @@
     run(test())
 
 
-def test_a_fault_of_the_code_is_a_failed_call_and_no_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unexpected_exception_is_a_failed_call_and_does_not_stop_the_source(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         server = StandIn(Store())
         server.store.write([(key("a"), row())])
@@ -452,7 +452,7 @@
         registry.upstream.stop()
 
 
-def test_another_source_counts_from_its_first_whole_list_on() -> None:
+def test_another_source_takes_effect_with_its_first_complete_list() -> None:
     async def test() -> None:
         registry, server = Registry(), await StandIn(Store()).start()
         registry.rows = {"a": entry("a", 1), "b": entry("b", 2)}
@@ -496,7 +496,7 @@
     run(test())
 
 
-def test_the_operators_file_is_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
+def test_the_operators_file_is_reloaded_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text('[etcd]\nendpoints = ["127.0.0.1:1"]\nprefix = "/a/"\n')
     lists = Lists(lambda: _source(load(str(path))))
@@ -513,7 +513,7 @@
     assert [m and m.target.prefix for m in replaced] == ["/b/", None]
 
 
-def test_while_etcd_is_away_the_last_list_serves_on_and_its_age_is_logged(
+def test_while_etcd_is_unreachable_the_last_list_stays_in_use_and_its_age_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_all_know_a_death_and_nobody_else_is_called_gone(seed: int) -> None:
+def test_all_members_detect_a_crash_and_no_other_member_is_declared_gone(seed: int) -> None:
     peers = Peers(12, seed, loss_rate=0.05)
     peers.run(10)
     peers.kill(5)
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_who_comes_back_blank_is_there_again_under_a_later_incarnation(seed: int) -> None:
+def test_a_member_restarted_without_state_is_up_again_with_a_higher_incarnation(seed: int) -> None:
     peers = Peers(8, seed)
     peers.kill(3)
     peers.run(20)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_who_leaves_in_order_is_known_to_within_two_periods_and_suspected_by_nobody(seed: int) -> None:
+def test_an_orderly_leave_spreads_quickly_and_causes_no_suspicion(seed: int) -> None:
     peers = Peers(12, seed, loss_rate=0.0)
     peers.run(5)
     at = peers.now
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_standstill_of_two_seconds_calls_nobody_gone(seed: int) -> None:
+def test_a_suspension_of_two_seconds_gets_no_member_declared_gone(seed: int) -> None:
     peers = Peers(12, seed)
     peers.run(5)
     peers.freeze(2, 2 * SECOND)
@@ -71,14 +71,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nobody_in_a_sound_fleet_takes_itself_to_be_slow(seed: int) -> None:
+def test_no_member_of_a_healthy_fleet_considers_itself_slow(seed: int) -> None:
     peers = Peers(12, seed, loss_rate=0.0)
     for _ in range(60):
         peers.run(0.5)
         assert {member.slowness for member in peers.members.values()} == {0}
 
 
-def test_who_stood_still_feels_it_and_holds_nobodys_silence_against_them() -> None:
+def test_a_suspended_member_notices_it_and_suspects_nobody_for_missing_answers() -> None:
     me = Members(0, 3, random.Random(1), SECOND)
     me.tick(me.due_ns)  # a probe is outstanding
     me.tick(me.due_ns + 3 * SECOND)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_hears_all_but_is_heard_by_nobody_is_gone_and_keeps_its_own_view(seed: int) -> None:
+def test_a_member_that_can_only_receive_is_gone_and_keeps_its_own_view(seed: int) -> None:
     peers = Peers(9, seed)
     peers.cut = lambda a, b: a == 6
     peers.run(25)
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_both_sides_of_a_cut_find_each_other_again(seed: int) -> None:
+def test_both_sides_of_a_partition_find_each_other_again(seed: int) -> None:
     peers = Peers(9, seed)
     peers.cut = lambda a, b: (a < 3) != (b < 3)
     peers.run(30)
@@ -106,14 +106,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_way_cut_between_two_alone_is_no_death_since_others_look_too(seed: int) -> None:
+def test_a_cut_between_two_members_alone_is_no_failure_because_of_indirect_probes(seed: int) -> None:
     peers = Peers(8, seed, loss_rate=0.0)
     peers.cut = lambda a, b: {a, b} == {1, 2}
     peers.run(40)
     assert not [seen for seen in peers.seen if seen[3] is GONE]
 
 
-def test_words_late_twice_and_out_of_order_change_nothing_in_the_end() -> None:
+def test_tables_converge_despite_late_duplicate_and_reordered_messages() -> None:
     for seed in SEEDS:
         peers = Peers(8, seed, duplicate_rate=0.5, max_delay_ns=10 * SECOND)  # nearly every answer comes too late
         peers.run(5)
@@ -136,7 +136,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(UPDATES, st.randoms(use_true_random=False))
-def test_the_same_words_in_any_order_and_number_end_in_the_same_table(
+def test_the_same_updates_in_any_order_and_number_give_the_same_table(
     updates: list[Update], rng: random.Random
 ) -> None:
     tables = []
@@ -151,7 +151,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.sampled_from([SUSPECTED, GONE, LEAVING]), st.integers(0, 2**32 - 2), st.booleans())
-def test_who_is_called_gone_answers_with_a_later_incarnation(
+def test_a_member_reported_as_not_up_refutes_it_with_a_higher_incarnation(
     status: Status, their_incarnation: int, by_news: bool
 ) -> None:
     me = Members(0, 3, random.Random(1), SECOND)
@@ -167,7 +167,7 @@
     assert me.incarnation == their_incarnation + 1  # the repeated older claim has no effect
 
 
-def test_suspicion_is_shorter_the_more_others_suspect_too() -> None:
+def test_suspicion_is_shorter_the_more_members_suspect() -> None:
     ends = []
     for reporters in range(1, MAX_CONFIRMATIONS + 1):
         me = Members(0, 12, random.Random(1), SECOND)
@@ -177,7 +177,7 @@
     assert ends == sorted(ends, reverse=True) and ends[-1] < ends[0] / 2
 
 
-def test_what_a_balancer_sends_does_not_grow_with_the_fleet() -> None:
+def test_the_traffic_of_a_balancer_does_not_grow_with_the_fleet() -> None:
     sent = {}
     for count in (12, 48, 192):
         peers = Peers(count, 1)
@@ -186,7 +186,7 @@
     assert max(messages for messages, _ in sent.values()) < 6 and sent[192][1] < 2 * sent[12][1]
 
 
-def test_news_are_told_so_many_times_and_no_message_is_too_long() -> None:
+def test_updates_are_passed_on_a_fixed_number_of_times_and_no_message_is_too_long() -> None:
     me = Members(0, 200, random.Random(1), SECOND)
     for number in range(2, 200):
         me.receive(1, encoded(Update(number, GONE, 3, 1)), SECOND)
@@ -204,7 +204,7 @@
     )
 
 
-def test_what_is_no_message_or_of_nobody_is_counted_and_changes_nothing() -> None:
+def test_invalid_messages_and_unknown_senders_are_counted_and_change_nothing() -> None:
     me = Members(0, 3, random.Random(1), SECOND)
     before = [member.version for member in me.members.values()]
     me.receive(1, b"\xf1\x01", SECOND)
--- a/tests/members/test_wire.py
+++ b/tests/members/test_wire.py
@@ -26,7 +26,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(MESSAGES)
-def test_a_message_is_read_as_it_was_written_and_an_older_balancer_reads_no_word_in_it(message: Message) -> None:
+def test_a_message_round_trips_and_an_older_balancer_ignores_it(message: Message) -> None:
     data = message.encode()
     assert decode(data) == message and len(data) <= MESSAGE
     assert read_words(data) == []
@@ -34,7 +34,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=30)
 @given(MESSAGES)
-def test_no_cut_of_a_message_is_taken_for_a_whole_one(message: Message) -> None:
+def test_a_truncated_message_is_rejected(message: Message) -> None:
     data = message.encode()
     whole = HEADER.size + len(message.updates) * 9
     for length in range(whole):
@@ -44,7 +44,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=300))
-def test_whatever_comes_is_a_message_or_refused(data: bytes) -> None:
+def test_any_bytes_are_a_message_or_rejected(data: bytes) -> None:
     try:
         message = decode(data)
     except BadMessage:
@@ -52,14 +52,14 @@
     assert decode(message.encode()) == message
 
 
-def test_a_word_and_another_version_are_refused() -> None:
+def test_a_decision_word_and_another_version_are_rejected() -> None:
     plain = Message(Kind.PING, 1, 2, Status.UP, 3, 4).encode()
     for data in (b"\0" * FORM.size, plain[:1] + b"\x02" + plain[2:], b"\0" + plain[1:], plain + b"\0" * 9):
         with pytest.raises(BadMessage):
             decode(data)
 
 
-def test_more_news_than_a_message_holds_are_not_written() -> None:
+def test_more_updates_than_fit_in_a_message_are_rejected() -> None:
     updates = (Update(1, Status.UP, 1, 1),) * (MAX_UPDATES + 1)
     with pytest.raises(ValueError, match="news in one message"):
         Message(Kind.PING, 1, 2, Status.UP, 3, 4, 5, updates).encode()
