--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent.parent
 NODE, UPSTREAM, DISCOVERY = "net/node.py", "net/upstream.py", "net/discovery.py"
 UPSTREAM_SET, FRONTEND = "net/upstream_set.py", "net/frontend.py"
-FOLLOWER, BOARD = "etcd/follower.py", "etcd/board.py"
+FOLLOWER, CHANGE_QUEUE = "etcd/follower.py", "etcd/change_queue.py"
 
 
 @dataclass(frozen=True)
@@ -162,24 +162,24 @@
         "etcd-compacted",
         "a watch whose history is gone is begun again where it was",
         FOLLOWER,
-        "        if event.compacted > 0:",
+        "        if event.compact_revision > 0:",
         "        if False:",
     ),
     _one(
         "etcd-resume-far",
         "a watch goes on one revision too far",
         FOLLOWER,
-        "last if event.more else last + 1",
-        "last if event.more else last + 2",
+        "last_revision if event.more else last_revision + 1",
+        "last_revision if event.more else last_revision + 2",
     ),
     _one(
         "etcd-progress",
         "past mend: progress does not move the point from which a watch goes on",
         FOLLOWER,
-        "        self._alive(now)\n        if event.cluster != self.cluster:\n            return self._other_cluster(now)\n"
-        "        return self._level(now, event.revision)\n\n    def _alive",
-        "        self._alive(now)\n        self.resume = max(self.resume, event.revision + 1)\n"
-        "        return self._level(now, event.revision)\n\n    def _alive",
+        "        self._on_response(now)\n        if event.cluster != self.cluster:\n            return self._other_cluster(now)\n"
+        "        return self._check_lag(now, event.revision)\n\n    def _on_response",
+        "        self._on_response(now)\n        self.resume_revision = max(self.resume_revision, event.revision + 1)\n"
+        "        return self._check_lag(now, event.revision)\n\n    def _on_response",
     ),
     _one(
         "etcd-silent",
@@ -191,15 +191,15 @@
     _one(
         "etcd-unnamed",
         "what a new list does not name stays",
-        BOARD,
-        "            else:\n                self._gone(host)\n        if self._doubts",
-        "        if self._doubts",
+        CHANGE_QUEUE,
+        "            else:\n                self._remove(host)\n        if self._removal_times",
+        "        if self._removal_times",
     ),
     _one(
         "etcd-overwritten",
         "past mend: an end that is still to be told is not written over",
-        BOARD,
-        "if self._pressing.get(host, pair) is not None:",
+        CHANGE_QUEUE,
+        "if self._urgent.get(host, item) is not None:",
         "if True:",
     ),
 )
