--- a/lanemux/cli.py
+++ b/lanemux/cli.py
@@ -90,9 +90,11 @@
         return None
     from lanemux.core.address import read_address
     from lanemux.etcd.member import Target
-    from lanemux.etcd.source import Make
+    from lanemux.etcd.source import EtcdSourceFactory
 
-    return Make(Target(tuple(map(read_address, etcd.endpoints)), etcd.prefix, etcd.user, etcd.password_file))
+    return EtcdSourceFactory(
+        Target(tuple(map(read_address, etcd.endpoints)), etcd.prefix, etcd.user, etcd.password_file)
+    )
 
 
 def _decision_factories(operators: OperatorsFile) -> tuple[MakeModule, MakeConnectionAdmission | None]:
@@ -114,7 +116,7 @@
 
     from lanemux.fleet.setup import add_membership
 
-    return partial(add_membership, told=operators.fleet)
+    return partial(add_membership, fleet=operators.fleet)
 
 
 def _serve(arguments: Sequence[str]) -> int:
@@ -171,11 +173,11 @@
     """Return one line for each setting of the operators' file that contradicts the configuration."""
     if operators.fleet is None or not config_path:
         return []
-    from lanemux.fleet.setup import faults
+    from lanemux.fleet.setup import config_errors
     from lanemux.net.config import BadConfig, read_config
 
     try:
-        return [f"{operators_path}: {fault}" for fault in faults(operators.fleet, read_config(config_path))]
+        return [f"{operators_path}: {fault}" for fault in config_errors(operators.fleet, read_config(config_path))]
     except BadConfig:
         return []
 
--- /dev/null
+++ b/lanemux/fleet/election_wire.py
@@ -0,0 +1,35 @@
+"""Encoding of the election messages between the council's voters (`fleet/election.py`). No I/O and no clock."""
+
+from __future__ import annotations
+
+import struct
+
+from lanemux.fleet.election import Ballot, ElectionMessage, MessageKind
+from lanemux.fleet.wire import MAGIC, NO_MEMBER, VERSION, BadMessage
+
+FORMAT = struct.Struct(">BBBBHIHIIHI")  # a length that no message of the decision modules (`core/words.py`) has
+KIND_OFFSET = 2  # offset of the byte that tells the kind of a fleet message
+
+
+def is_election_message(data: bytes) -> bool:
+    """Whether this fleet message belongs to the election."""
+    return len(data) > KIND_OFFSET and data[KIND_OFFSET] >= MessageKind.PREPARE
+
+
+def encode(message: ElectionMessage) -> bytes:
+    """Encode a message as a datagram."""
+    leader = message.leader if message.leader >= 0 else NO_MEMBER
+    return FORMAT.pack(MAGIC, VERSION, message.kind, 0, leader, *message.ballot, *message.promised)
+
+
+def decode(data: bytes) -> ElectionMessage:
+    """Decode a datagram. Raises BadMessage with a reason if it is no election message."""
+    if len(data) != FORMAT.size or data[0] != MAGIC or data[1] != VERSION:
+        raise BadMessage(f"{len(data)} bytes are no election message")
+    _, _, kind, _, leader, *numbers = FORMAT.unpack(data)
+    try:
+        return ElectionMessage(
+            MessageKind(kind), Ballot(*numbers[:3]), Ballot(*numbers[3:]), -1 if leader == NO_MEMBER else leader
+        )
+    except ValueError as error:
+        raise BadMessage(str(error)) from None
