--- a/bench/outages.py
+++ b/bench/outages.py
@@ -21,9 +21,18 @@
 
 from lanemux import interface as api
 from lanemux.policy import Balancer
-from lanemux.rehearsal.command import find
-from lanemux.rehearsal.scenario import USUAL_CLASSES, USUAL_PARTNERS, Callers, Discovery, Fault, Fleet, Load, Scenario
-from lanemux.rehearsal.service import over_time
+from lanemux.rehearsal.command import find_scenario
+from lanemux.rehearsal.scenario import (
+    DEFAULT_CLASSES,
+    DEFAULT_PARTNERS,
+    Callers,
+    Discovery,
+    Fault,
+    Fleet,
+    Load,
+    Scenario,
+)
+from lanemux.rehearsal.service import time_series
 from lanemux.storm.module import StormModule, StormOptions
 from lanemux.storm.restarts import RestartDetector
 from lanemux.virtual.network import Weather
@@ -99,11 +108,11 @@
 def setting(name: str) -> Setting:
     """The world as the virtual stage takes it."""
     links = dict.fromkeys(("client", "box", "list", "peer"), Weather(jitter_ns=100_000))
-    return Setting(find("partner-storm", "") if name == PARTNERS_WORLD else _outage(WORLDS[name]), links)
+    return Setting(find_scenario("partner-storm", "") if name == PARTNERS_WORLD else _outage(WORLDS[name]), links)
 
 
 def _outage(world: World) -> Scenario:
-    mean_s = sum(c.share * c.work_ms for c in USUAL_CLASSES) / 1000
+    mean_s = sum(c.share * c.work_ms for c in DEFAULT_CLASSES) / 1000
     return Scenario(
         "an outage",
         world.seconds,
@@ -112,8 +121,8 @@
         Load(rate=world.load * world.boxes / mean_s, swing=0.1),
         Callers(at_once=1.0, honour=world.honour, marks=world.marks),
         Discovery(notice_s=world.notice_s, add_s=(0.77, 2.5)),
-        classes=USUAL_CLASSES,
-        partners=USUAL_PARTNERS,
+        classes=DEFAULT_CLASSES,
+        partners=DEFAULT_PARTNERS,
         faults=(Fault("crash", at_s=DIES_S, part=(world.part, world.part), down_s=world.down_s),),
     )
 
@@ -162,7 +171,7 @@
         f.attempts_per_ask,
         statistics.mean(v for p, v in f.by_partner.items() if p != PARTNER),
         broken,
-        [(sum(p.earned.values()), sum(p.asked.values())) for p in over_time(result.plan, result.boxes, result.books)],
+        [(sum(p.earned.values()), sum(p.asked.values())) for p in time_series(result.plan, result.boxes, result.books)],
     )
 
 
--- a/bench/seam_cost.py
+++ b/bench/seam_cost.py
@@ -31,8 +31,8 @@
 
 from lanemux.rehearsal import framing
 from lanemux.rehearsal.balancers import Place, configuration, free_port
-from lanemux.rehearsal.command import find
-from lanemux.rehearsal.plan import Notice, draw, settings
+from lanemux.rehearsal.command import find_scenario
+from lanemux.rehearsal.plan import Notice, draw_plan, settings
 from lanemux.rehearsal.registry import Agent
 
 ROOT = Path(__file__).parent.parent
@@ -135,7 +135,7 @@
 async def start(
     side: Side, folder: Path, core: int, agent: Agent, place: Place, program: list[str]
 ) -> asyncio.subprocess.Process:
-    told = settings(draw(find("calm-short", ""), 1), 0)
+    told = settings(draw_plan(find_scenario("calm-short", ""), 1), 0)
     told["realms"] = [{"name": "brooklyn-desk", "share": 1.0}]
     path = folder / f"{side.name}.json"
     path.write_text(json.dumps(configuration(side.name, place, "1", agent.listing(), told)))
@@ -153,7 +153,7 @@
 
 
 async def open_upstreams(agent: Agent) -> None:
-    loop, plan = asyncio.get_running_loop(), draw(find("calm-short", ""), 1)
+    loop, plan = asyncio.get_running_loop(), draw_plan(find_scenario("calm-short", ""), 1)
     for number in range(UPSTREAMS):
         server = await loop.create_server(Upstream, HOST, 0)
         agent.tell(plan.boxes[number], server.sockets[0].getsockname()[:2], Notice(0, number, "up", 0), True)
--- a/bench/simulate.py
+++ b/bench/simulate.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from lanemux.rehearsal.command import find
+from lanemux.rehearsal.command import find_scenario
 from lanemux.virtual.network import Weather
 from lanemux.virtual.script import Script, Setting
 from lanemux.virtual.stage import play
@@ -97,7 +97,7 @@
 
 def agree(seeds: int) -> None:
     """The same plan of asks and the same boxes; the balancers' time costs nothing on the virtual clock."""
-    scenario = find("calm-short", "")
+    scenario = find_scenario("calm-short", "")
     rows = []
     for seed in range(1, seeds + 1):
         with tempfile.NamedTemporaryFile(suffix=".json") as file:
--- a/lanemux/rehearsal/addresses.py
+++ b/lanemux/rehearsal/addresses.py
@@ -10,7 +10,7 @@
 Address = tuple[str, int]
 
 
-def bound(address: Address, make: Callable[[], socket.socket] = socket.socket) -> socket.socket:
+def bound_socket(address: Address, make: Callable[[], socket.socket] = socket.socket) -> socket.socket:
     """A socket bound there; port 0 takes a free one."""
     made = make()
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -19,13 +19,15 @@
     return made
 
 
-def reserve(plan: Plan, prefix: str, make: Callable[[], socket.socket] = socket.socket) -> list[list[Address]]:
+def reserve_addresses(
+    plan: Plan, prefix: str, make: Callable[[], socket.socket] = socket.socket
+) -> list[list[Address]]:
     """Addresses for each slot, one for each balancer: `prefix`.balancer.slot, at ports that were free."""
     addresses = []
     for slot in range(max(box.slot for box in plan.boxes) + 1):
         row: list[Address] = []
         for balancer in range(plan.scenario.fleet.balancers):
-            taken = bound((f"{prefix}.{balancer}.{slot + 1}", 0), make)
+            taken = bound_socket((f"{prefix}.{balancer}.{slot + 1}", 0), make)
             row.append(taken.getsockname())
             taken.close()
         addresses.append(row)
--- a/lanemux/rehearsal/balancers.py
+++ b/lanemux/rehearsal/balancers.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lanemux.rehearsal.addresses import Address, bound
+from lanemux.rehearsal.addresses import Address, bound_socket
 
 READY_S = 30.0  # a balancer that is not ready by then has failed to start
 LEAVE_S = 4.5  # after SIGTERM: the longest deadline and the platform's 0.7 s
@@ -58,7 +58,7 @@
 def free_port(host: str, datagrams: bool = False) -> Address:
     """An address of that host that is free now; the kit's hosts are its own, so it stays free."""
     if not datagrams:
-        taken = bound((host, 0))
+        taken = bound_socket((host, 0))
     else:
         taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         taken.bind((host, 0))
--- a/lanemux/rehearsal/box_connection.py
+++ b/lanemux/rehearsal/box_connection.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING, cast
 
 from lanemux.rehearsal import framing
-from lanemux.rehearsal.books import NEVER, Attempt
 from lanemux.rehearsal.box import Job
+from lanemux.rehearsal.records import NEVER, Attempt
 
 if TYPE_CHECKING:
     from lanemux.rehearsal.box_host import Host
--- a/lanemux/rehearsal/box_host.py
+++ b/lanemux/rehearsal/box_host.py
@@ -13,12 +13,12 @@
 from collections import Counter
 
 from lanemux.rehearsal import framing
-from lanemux.rehearsal.addresses import Address, bound
-from lanemux.rehearsal.books import NEVER, Attempt, Life, Oddity
+from lanemux.rehearsal.addresses import Address, bound_socket
 from lanemux.rehearsal.box import BoxModel, Job
 from lanemux.rehearsal.box_connection import RESET, Connection
 from lanemux.rehearsal.box_world import World
-from lanemux.rehearsal.plan import MS, Ask, Box, attempt_work
+from lanemux.rehearsal.plan import MS, Ask, Box, attempt_work_ns
+from lanemux.rehearsal.records import NEVER, Anomaly, Attempt, StateSpan
 from lanemux.rehearsal.request_form import as_sent, body_of, digest_of
 
 BACKLOG = 128
@@ -45,7 +45,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._thaw: asyncio.TimerHandle | None = None
         self._unseen_ns = 0  # the listeners are on the loop since
-        self._life: dict[str, Life] = {}
+        self._life: dict[str, StateSpan] = {}
         self._start_tries = 0
 
     # -- the process --
@@ -70,7 +70,7 @@
         """At all of its addresses, or none."""
         try:
             for address in self.addresses:
-                listener = bound(address, self.world.socket)
+                listener = bound_socket(address, self.world.socket)
                 self._listeners.append(listener)
                 listener.listen(BACKLOG)
         except OSError:
@@ -121,8 +121,8 @@
             for a in self.world.books.attempts
             if a.box == self.number and a.whole_ns > now - int(self.world.plan.scenario.fleet.fall_ms * MS)
         )
-        self.world.books.oddities.append(
-            Oddity(
+        self.world.books.anomalies.append(
+            Anomaly(
                 now,
                 "cold",
                 f"box {self.box.host} was pushed over "
@@ -217,8 +217,8 @@
 
     def _begin_life(self, state: str, at_ns: int | None = None) -> None:
         if state not in self._life:
-            self._life[state] = Life(self.number, state, self.world.now() if at_ns is None else at_ns)
-            self.world.books.lives.append(self._life[state])
+            self._life[state] = StateSpan(self.number, state, self.world.now() if at_ns is None else at_ns)
+            self.world.books.state_spans.append(self._life[state])
 
     def _end_life(self, state: str) -> None:
         life = self._life.pop(state, None)
@@ -261,7 +261,7 @@
         """The start of the latest time for which nothing was accepted."""
         spans = [
             life.from_ns
-            for life in self.world.books.lives
+            for life in self.world.books.state_spans
             if life.who == self.number and life.state in ("frozen", "vanished", "down")
         ]
         return max(spans, default=0)
@@ -320,8 +320,8 @@
         name = message.headers.get("req-id", "")
         ask = self.world.asks.get(name)
         if ask is None or not as_sent(self.world.plan, ask, message):
-            self.world.books.oddities.append(
-                Oddity(
+            self.world.books.anomalies.append(
+                Anomaly(
                     self.world.now(),
                     "foreign",
                     f"box {self.box.host} was sent {message.first[:120]!r} with "
@@ -342,7 +342,7 @@
         )
         self.world.books.attempts.append(attempt)
         connection.attempt = attempt
-        work = attempt_work(self.world.plan, ask, self.number, self._seen[name])
+        work = attempt_work_ns(self.world.plan, ask, self.number, self._seen[name])
         self._seen[name] += 1
         mean = next(c.work_ms for c in self.world.plan.scenario.classes if c.name == ask.class_name) * MS
         connection.job = self.model.offer(work, mean)
--- a/lanemux/rehearsal/box_world.py
+++ b/lanemux/rehearsal/box_world.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lanemux.rehearsal.books import BoxBooks
 from lanemux.rehearsal.looks import Looks
 from lanemux.rehearsal.plan import Ask, Plan
+from lanemux.rehearsal.records import BoxRecords
 
 
 class Sight(Protocol):
@@ -33,7 +33,7 @@
     loop: asyncio.AbstractEventLoop
     plan: Plan
     looks: Looks
-    books: BoxBooks
+    books: BoxRecords
     zero_ns: int  # the run's start on the loop's clock
     asks: dict[str, Ask]  # by the id of each of their tries
     fell: Callable[[int, int], None]  # a box has fallen over, at a time
--- a/lanemux/rehearsal/boxes.py
+++ b/lanemux/rehearsal/boxes.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.books import BoxBooks
 from lanemux.rehearsal.box_host import Host
 from lanemux.rehearsal.box_world import World
 from lanemux.rehearsal.looks import Lateness
 from lanemux.rehearsal.plan import Happening
-from lanemux.rehearsal.scenario import AT_BALANCERS
+from lanemux.rehearsal.records import BoxRecords
+from lanemux.rehearsal.scenario import BALANCER_EVENTS
 
 SAMPLE_S = 0.1  # how often the books note what each box holds
 SWEEP_S = 1.0  # and connections that stood idle are looked for
@@ -29,13 +29,13 @@
 
     def open(self) -> None:
         """Start the boxes that are there at first, warm."""
-        for number in self.world.plan.first:
+        for number in self.world.plan.initial_boxes:
             self.hosts[number].start(cold=False)
 
     def begin(self, measured: bool = True) -> None:
         """The run begins: the plan's faults come at their times. `measured`: book how late this loop runs."""
         for happening in self.world.plan.happenings:
-            if happening.what not in AT_BALANCERS:
+            if happening.what not in BALANCER_EVENTS:
                 self._timers.append(self.world.at(happening.at_ns, self.happen, happening))
         if measured:
             self._lateness = Lateness(self.world.loop, self.world.books.lag_ns)
@@ -66,7 +66,7 @@
             case "neighbour":
                 host.neighbour(happening.size, happening.until_ns)
 
-    def end(self) -> BoxBooks:
+    def end(self) -> BoxRecords:
         """Stop, and hand over the books; what was still out is noted as it is."""
         for timer in (*self._timers, *self._ticks.values()):
             timer.cancel()
--- a/lanemux/rehearsal/boxes_process.py
+++ b/lanemux/rehearsal/boxes_process.py
@@ -8,12 +8,12 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from lanemux.rehearsal.addresses import reserve
-from lanemux.rehearsal.books import BoxBooks
+from lanemux.rehearsal.addresses import reserve_addresses
 from lanemux.rehearsal.box_world import World
 from lanemux.rehearsal.boxes import Boxes
 from lanemux.rehearsal.looks import WatchedSelector, quiet_collector
-from lanemux.rehearsal.plan import draw
+from lanemux.rehearsal.plan import draw_plan
+from lanemux.rehearsal.records import BoxRecords
 from lanemux.rehearsal.scenario import Scenario
 
 
@@ -33,13 +33,13 @@
 
 async def _serve(pipe: Connection, scenario: Scenario, seed: int, prefix: str, looks: WatchedSelector) -> None:
     loop = asyncio.get_running_loop()
-    plan = draw(scenario, seed)
+    plan = draw_plan(scenario, seed)
     asks = {name: ask for ask in plan.asks for name in ask.ids}
     world = World(
-        loop, plan, looks, BoxBooks(), int(loop.time() * 1e9), asks, lambda box, at: pipe.send(("fell", box, at))
+        loop, plan, looks, BoxRecords(), int(loop.time() * 1e9), asks, lambda box, at: pipe.send(("fell", box, at))
     )
     loop.set_exception_handler(lambda _, context: world.books.faults.append(fault_text(context)))
-    addresses = reserve(plan, prefix)
+    addresses = reserve_addresses(plan, prefix)
     boxes = Boxes(world, addresses)
     boxes.open()
     pipe.send(("addresses", addresses, plan.digest()))
--- a/lanemux/rehearsal/callers.py
+++ b/lanemux/rehearsal/callers.py
@@ -12,8 +12,8 @@
 
 from lanemux.rehearsal import framing
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.books import CallerBooks, Oddity, Try
 from lanemux.rehearsal.plan import MS, Ask, Plan, idempotency_key
+from lanemux.rehearsal.records import Anomaly, CallerRecords, Try
 from lanemux.rehearsal.request_form import digest_of, sent_body, target_of
 
 GRACE_NS = 50 * MS  # an answer may come so much after the deadline that the caller named
@@ -215,7 +215,7 @@
 class Callers:
     """All callers of a run."""
 
-    def __init__(self, plan: Plan, front: Front, books: CallerBooks, zero_ns: int, grace_ns: int = GRACE_NS) -> None:
+    def __init__(self, plan: Plan, front: Front, books: CallerRecords, zero_ns: int, grace_ns: int = GRACE_NS) -> None:
         self.plan, self.front, self.books, self.zero_ns = plan, front, books, zero_ns
         self.grace_ns = grace_ns  # an answer is waited for so much longer than its deadline
         self._loop = asyncio.get_running_loop()
@@ -239,7 +239,7 @@
         task.add_done_callback(lambda task: self._tasks.pop(task, None))
 
     def odd(self, rule: str, what: str, attempted: Attempted | None) -> None:
-        self.books.oddities.append(Oddity(self.now(), rule, what, attempted.entry.id if attempted else ""))
+        self.books.anomalies.append(Anomaly(self.now(), rule, what, attempted.entry.id if attempted else ""))
 
     # -- asks --
 
--- a/lanemux/rehearsal/calls/life.py
+++ b/lanemux/rehearsal/calls/life.py
@@ -22,7 +22,7 @@
 from lanemux.rehearsal.framing import Framer, Message, Unreadable
 from lanemux.rehearsal.looks import LatenessLog
 from lanemux.rehearsal.plan import SECOND
-from lanemux.rehearsal.validity import LATE_MOST_NS, WAITED_MOST
+from lanemux.rehearsal.validity import MAX_LATE_NS, MAX_WAITED_SHARE
 
 READY_WITHIN_S = 10.0  # of the operators' gate, for a restarted balancer
 DEADLINE_MS = 800
@@ -82,8 +82,8 @@
     @property
     def explains(self) -> bool:
         """So much of it that what went wrong in the span accuses nobody."""
-        most_s = WAITED_MOST * max(1.0, self.span_s)
-        late = self.kit_late_s > max(LATE_MOST_NS / SECOND, WAITED_MOST * self.span_s)
+        most_s = MAX_WAITED_SHARE * max(1.0, self.span_s)
+        late = self.kit_late_s > max(MAX_LATE_NS / SECOND, MAX_WAITED_SHARE * self.span_s)
         return late or self.balancer_waited_s > most_s or self.stolen_s > most_s
 
     def __str__(self) -> str:
--- a/lanemux/rehearsal/command.py
+++ b/lanemux/rehearsal/command.py
@@ -18,11 +18,11 @@
 from lanemux.rehearsal import report
 from lanemux.rehearsal.callers import Callers
 from lanemux.rehearsal.run import CannotRun, Progress, Run, rehearse
-from lanemux.rehearsal.scenario import MAX_BALANCERS, MAX_BOXES, Scenario, checked, read_scenario
+from lanemux.rehearsal.scenario import MAX_BALANCERS, MAX_BOXES, Scenario, read_scenario, validated
 from lanemux.validation import ValidationError, installed
 
 KEPT, BROKEN, BAD_USE, NOT_VALID = 0, 1, 2, 3
-BY_SIGNAL = 128  # and the signal's number, as shells tell it
+SIGNAL_STATUS_BASE = 128  # and the signal's number, as shells tell it
 DEFAULT = "calm-short"
 HONOUR = {"none": 0.0, "partly": 0.5, "wholly": 1.0}  # share of callers that come back no sooner than they are told
 
@@ -34,11 +34,11 @@
     try:
         operators = load(options.operators)
         if options.list:
-            for name, title in sorted(_known(operators.rehearsal.scenarios_directory).items()):
+            for name, title in sorted(_scenario_titles(operators.rehearsal.scenarios_directory).items()):
                 print(f"{name:<24}{title}")
             return KEPT
         name = options.scenario
-        scenario = _overridden(find(name, operators.rehearsal.scenarios_directory), options)
+        scenario = _overridden(find_scenario(name, operators.rehearsal.scenarios_directory), options)
     except ValidationError as error:
         for fault in error.faults:
             print(f"lanemux: {fault}", file=sys.stderr)
@@ -57,7 +57,7 @@
         return BAD_USE
     except EndedBySignal as error:
         print(f"lanemux: ended by {error.by.name} before the run was over", file=sys.stderr)
-        return BY_SIGNAL + error.by
+        return SIGNAL_STATUS_BASE + error.by
     _show(run, name)
     if options.json:
         Path(options.json).write_text(json.dumps(report.as_json(run, name), indent=1) + "\n")
@@ -71,17 +71,17 @@
 def _run(scenario: Scenario, seed: int, command: Sequence[str]) -> Run:
     """Play it; a terminal is shown how far it is."""
     if not sys.stderr.isatty():
-        return asyncio.run(rehearse_until_told(scenario, seed, command, None))
+        return asyncio.run(rehearse_until_signal(scenario, seed, command, None))
     if not installed("rich"):
-        run = asyncio.run(rehearse_until_told(scenario, seed, command, _progress))
+        run = asyncio.run(rehearse_until_signal(scenario, seed, command, _progress))
         print(file=sys.stderr)
         return run
     from rich.console import Console
 
-    from lanemux.rehearsal.terminal import Bar
+    from lanemux.rehearsal.terminal import ProgressBar
 
-    with Bar(Console(stderr=True)) as bar:
-        return asyncio.run(rehearse_until_told(scenario, seed, command, bar.tell))
+    with ProgressBar(Console(stderr=True)) as bar:
+        return asyncio.run(rehearse_until_signal(scenario, seed, command, bar.update))
 
 
 def _show(run: Run, name: str) -> None:
@@ -91,9 +91,9 @@
         return
     from rich.console import Console
 
-    from lanemux.rehearsal.terminal import show
+    from lanemux.rehearsal.terminal import print_summary
 
-    show(run, name, Console())
+    print_summary(run, name, Console())
 
 
 class EndedBySignal(Exception):
@@ -103,7 +103,7 @@
         self.by = by
 
 
-async def rehearse_until_told(
+async def rehearse_until_signal(
     scenario: Scenario,
     seed: int,
     command: Sequence[str],
@@ -134,10 +134,10 @@
     """The exit status that a run comes to. A run that is not valid accuses nobody."""
     if not run.validity.valid:
         return NOT_VALID
-    return KEPT if run.kept else BROKEN
+    return KEPT if run.passed else BROKEN
 
 
-def find(name: str, directory: str = "") -> Scenario:
+def find_scenario(name: str, directory: str = "") -> Scenario:
     """A scenario by the path of its file, or by its name among the operators' own and the kit's."""
     if name.endswith(".toml"):
         return read_scenario(read_text(Path(name)), name)
@@ -146,11 +146,11 @@
         return read_scenario(read_text(own), str(own))
     ours = resources.files("lanemux.rehearsal") / "scenarios" / f"{name}.toml"
     if "/" in name or not ours.is_file():
-        raise ValidationError([f"no scenario {name!r}; there are {', '.join(sorted(_known(directory)))}"])
+        raise ValidationError([f"no scenario {name!r}; there are {', '.join(sorted(_scenario_titles(directory)))}"])
     return read_scenario(ours.read_text(), name)
 
 
-def _known(directory: str) -> dict[str, str]:
+def _scenario_titles(directory: str) -> dict[str, str]:
     """The titles of all scenarios that have a name."""
     titles = {}
     for entry in (resources.files("lanemux.rehearsal") / "scenarios").iterdir():
@@ -211,7 +211,7 @@
     if options.honour:
         callers = dataclasses.replace(callers, honour=HONOUR[options.honour])
     given = options.balancers_operators
-    return checked(
+    return validated(
         dataclasses.replace(
             scenario,
             fleet=fleet,
--- a/lanemux/rehearsal/etcd/agent.py
+++ b/lanemux/rehearsal/etcd/agent.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Sequence
 
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.books import Told
 from lanemux.rehearsal.etcd.server import Listen, StandIn
 from lanemux.rehearsal.etcd.store import Change, Store
 from lanemux.rehearsal.plan import MS, Box, Happening, Notice
+from lanemux.rehearsal.records import Told
 
 TOLD_AT_LATEST_NS = 6_000_000_000  # as with platform discovery: a stall must be found out before
 
--- a/lanemux/rehearsal/injection.py
+++ b/lanemux/rehearsal/injection.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from lanemux.rehearsal.injection_plan import HOLD_UP_S, BadPlan, Plan, read_plan
+from lanemux.rehearsal.injection_plan import HOLD_UP_S, InjectionPlan, InvalidPlan, read_plan
 
 USAGE_STATUS = 2
 SHORT_BYTES = 7  # a shortened read or write moves at most so many bytes
@@ -42,7 +42,7 @@
 class Injector:
     """Decides which call fails."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: InjectionPlan) -> None:
         self.plan = plan
         # Each process draws for itself, and the same at each of its starts.
         self._random = random.Random(f"{plan.seed}/{os.environ.get('RELAY_NAME', '')}")
@@ -171,7 +171,7 @@
         return USAGE_STATUS
     try:
         plan = read_plan(Path(arguments[0]).read_text())
-    except (OSError, BadPlan) as error:
+    except (OSError, InvalidPlan) as error:
         print(f"injection: {arguments[0]}: {error}", file=sys.stderr)
         return USAGE_STATUS
     sys.argv = list(arguments[1:])
--- a/lanemux/rehearsal/injection_plan.py
+++ b/lanemux/rehearsal/injection_plan.py
@@ -9,7 +9,7 @@
 HOLD_UP_S = 0.15  # a process may be held up for so long between reading its clock and writing
 
 
-class BadPlan(ValueError):
+class InvalidPlan(ValueError):
     """The plan can't be read."""
 
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class InjectionPlan:
     """What fails, and how often. Shares are probabilities of one call."""
 
     seed: int = 0
@@ -50,20 +50,20 @@
         object.__setattr__(self, "windows", tuple(self.windows))
         object.__setattr__(self, "clock_steps", tuple(self.clock_steps))
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """The plan as `read_plan` takes it."""
         return json.dumps(self, default=vars)
 
 
-def read_plan(text: str) -> Plan:
-    """The plan in a text; BadPlan if it is none."""
+def read_plan(text: str) -> InjectionPlan:
+    """The plan in a text; InvalidPlan if it is none."""
     try:
         raw = json.loads(text)
-        known = {f.name for f in fields(Plan)}
+        known = {f.name for f in fields(InjectionPlan)}
         if set(raw) - known:
-            raise BadPlan(f"unknown: {', '.join(sorted(set(raw) - known))}")
+            raise InvalidPlan(f"unknown: {', '.join(sorted(set(raw) - known))}")
         raw["windows"] = [Window(**window) for window in raw.get("windows", ())]
         raw["clock_steps"] = [ClockStep(**step) for step in raw.get("clock_steps", ())]
-        return Plan(**raw)
+        return InjectionPlan(**raw)
     except (TypeError, AttributeError, json.JSONDecodeError) as error:
-        raise BadPlan(str(error)) from None
+        raise InvalidPlan(str(error)) from None
--- a/lanemux/rehearsal/page.py
+++ b/lanemux/rehearsal/page.py
@@ -15,7 +15,7 @@
 from lanemux.rehearsal.plan import SECOND
 from lanemux.rehearsal.report import as_text
 from lanemux.rehearsal.run import Run
-from lanemux.rehearsal.service import over_time
+from lanemux.rehearsal.service import time_series
 
 STATES = {
     "frozen": "#2b6cb0",
@@ -94,7 +94,7 @@
 
 
 def _service(run: Run) -> Any:
-    points = over_time(run.plan, run.boxes, run.callers)
+    points = time_series(run.plan, run.boxes, run.callers)
     figure = go.Figure()
     for cls in run.plan.scenario.classes:
         xs, ys = [], []
@@ -131,7 +131,7 @@
         )
     )
     spans: dict[str, list[tuple[int, float, float]]] = defaultdict(list)
-    for life in run.boxes.lives:
+    for life in run.boxes.state_spans:
         whole_ns = int(run.plan.scenario.seconds * SECOND)
         if life.from_ns < whole_ns:
             end = min(life.to_ns, whole_ns)
@@ -174,7 +174,7 @@
 
 
 def _ends(run: Run) -> Any:
-    points = over_time(run.plan, run.boxes, run.callers)
+    points = time_series(run.plan, run.boxes, run.callers)
     figure = go.Figure()
     xs = [p.at_s for p in points]
     figure.add_bar(x=xs, y=[p.untried for p in points], name="refused, no attempt", marker={"color": "#dd9b1f"})
@@ -186,7 +186,7 @@
 
 
 def _attempts(run: Run) -> Any:
-    points = over_time(run.plan, run.boxes, run.callers)
+    points = time_series(run.plan, run.boxes, run.callers)
     figure = go.Figure()
     xs = [p.at_s for p in points]
     figure.add_scatter(x=xs, y=[2 * p.attempts for p in points], name="attempts at boxes", mode="lines")
--- a/lanemux/rehearsal/plan.py
+++ b/lanemux/rehearsal/plan.py
@@ -96,7 +96,7 @@
     scenario: Scenario
     seed: int
     boxes: list[Box] = field(default_factory=list)
-    first: list[int] = field(default_factory=list)  # boxes that are there and warm at the start
+    initial_boxes: list[int] = field(default_factory=list)  # boxes that are there and warm at the start
     asks: list[Ask] = field(default_factory=list)
     happenings: list[Happening] = field(default_factory=list)
     notices: list[Notice] = field(default_factory=list)
@@ -112,7 +112,7 @@
         h = hashlib.blake2b(digest_size=12)
         for part in (
             self.boxes,
-            self.first,
+            self.initial_boxes,
             self.asks,
             self.happenings,
             self.notices,
@@ -124,13 +124,13 @@
         return h.hexdigest()
 
 
-def draw(scenario: Scenario, seed: int) -> Plan:
+def draw_plan(scenario: Scenario, seed: int) -> Plan:
     """The plan of a scenario under a seed."""
     plan = Plan(scenario, seed)
     rng = _stream(seed, "world")
     fleet = scenario.fleet
     for i in range(fleet.boxes):
-        plan.first.append(_new_box(plan, rng, i, i))
+        plan.initial_boxes.append(_new_box(plan, rng, i, i))
     plan.spread_ns = [_ns(rng, scenario.discovery.spread_ms, MS) for _ in range(fleet.balancers)]
     plan.fronts_notice_ns = _ns(rng, scenario.callers.front_notice_s, SECOND)
     plan.cancels_queued = rng.random() < fleet.cancels_queued
@@ -453,7 +453,7 @@
     return hashlib.blake2b(f"{seed}/{ask}/key".encode(), digest_size=16).hexdigest()
 
 
-def attempt_work(plan: Plan, ask: Ask, box: int, nth: int) -> int:
+def attempt_work_ns(plan: Plan, ask: Ask, box: int, nth: int) -> int:
     """The work of one attempt in nanoseconds: its request's, with noise of its own."""
     cls = next(c for c in plan.scenario.classes if c.name == ask.class_name)
     rng = random.Random(f"{plan.seed}/{ask.number}/{box}/{nth}")
--- a/lanemux/rehearsal/process_monitor.py
+++ b/lanemux/rehearsal/process_monitor.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 
 from lanemux.rehearsal.balancers import spent_s, usage, waited_ns
-from lanemux.rehearsal.books import CallerBooks
+from lanemux.rehearsal.records import CallerRecords
 
-PROCESSES_A_TURN = 4  # of the loop, whose callers must not wait for a look at hundreds
+PROCESSES_PER_TURN = 4  # of the loop, whose callers must not wait for a look at hundreds
 
 
 @dataclass(slots=True)
@@ -25,24 +25,24 @@
 class ProcessMonitor:
     """Notes the most of what each look finds in the callers' books."""
 
-    def __init__(self, books: CallerBooks) -> None:
+    def __init__(self, books: CallerRecords) -> None:
         self._books = books
         self._last: dict[int, _Look] = {}
 
-    async def look(self, kit: Sequence[int], balancers: Sequence[int], counts: bool) -> None:
-        """Look at the processes with these numbers; `counts`: what the kit or a balancer waited is noted."""
-        for number, pid in enumerate((*kit, *balancers)):
-            self._look_at(pid, pid in balancers, counts)
-            if number % PROCESSES_A_TURN == PROCESSES_A_TURN - 1:
+    async def sample(self, harness: Sequence[int], balancers: Sequence[int], record_waits: bool) -> None:
+        """Look at the processes with these numbers; `record_waits`: what the kit or a balancer waited is noted."""
+        for number, pid in enumerate((*harness, *balancers)):
+            self._look_at(pid, pid in balancers, record_waits)
+            if number % PROCESSES_PER_TURN == PROCESSES_PER_TURN - 1:
                 await asyncio.sleep(0)
 
-    def _look_at(self, pid: int, balancer: bool, counts: bool) -> None:
+    def _look_at(self, pid: int, balancer: bool, record_waits: bool) -> None:
         found = _Look(time.monotonic_ns(), waited_ns(pid), spent_s(pid))
         before = self._last.get(pid)
         self._last[pid] = found
         if before is not None and found.at_ns > before.at_ns:
             span_ns = found.at_ns - before.at_ns
-            if counts:
+            if record_waits:
                 waited_share = (found.waited_ns - before.waited_ns) / span_ns
                 self._books.waited_share = max(self._books.waited_share, waited_share)
             if balancer:
--- a/lanemux/rehearsal/books.py
+++ b/lanemux/rehearsal/records.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Oddity:
+class Anomaly:
     """Something that no honest balancer does, with where it was seen."""
 
     at_ns: int
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class StateSpan:
     """A span of a box's or a balancer's state, for the rules and the plots."""
 
     who: int
@@ -81,12 +81,12 @@
 
 
 @dataclass(slots=True)
-class BoxBooks:
+class BoxRecords:
     """What the boxes saw."""
 
     attempts: list[Attempt] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    oddities: list[Oddity] = field(default_factory=list)
+    state_spans: list[StateSpan] = field(default_factory=list)
+    anomalies: list[Anomaly] = field(default_factory=list)
     probes: int = 0
     opened: int = 0  # connections
     open_most: int = 0  # at once, over all boxes
@@ -99,13 +99,13 @@
 
 
 @dataclass(slots=True)
-class CallerBooks:
+class CallerRecords:
     """What the callers and discovery saw."""
 
     tries: list[Try] = field(default_factory=list)
     told: list[Told] = field(default_factory=list)
-    oddities: list[Oddity] = field(default_factory=list)
-    balancers_down: list[Life] = field(default_factory=list)
+    anomalies: list[Anomaly] = field(default_factory=list)
+    balancers_down: list[StateSpan] = field(default_factory=list)
     late_ns: list[int] = field(default_factory=list)  # how late asks were sent
     lag_ns: list[int] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
--- a/lanemux/rehearsal/registry.py
+++ b/lanemux/rehearsal/registry.py
@@ -15,8 +15,8 @@
 
 from lanemux.rehearsal import framing
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.books import Told
 from lanemux.rehearsal.plan import MS, Box, Happening, Notice
+from lanemux.rehearsal.records import Told
 
 TOLD_AT_LATEST_NS = 6_000_000_000  # what an agent has counts as told so much later, read or not
 MAX_WAIT_MS = 60_000
--- a/lanemux/rehearsal/report.py
+++ b/lanemux/rehearsal/report.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lanemux.rehearsal.rules import counts
+from lanemux.rehearsal.rules import violation_counts
 from lanemux.rehearsal.run import Run
 
 SHOWN = 5  # violations in the table; the JSON has more
@@ -17,10 +17,10 @@
         "seed": run.plan.seed,
         "digest": run.digest,
         "valid": run.validity.valid,
-        "rules": counts(run.violations),
+        "rules": violation_counts(run.violations),
         "crashes": run.crashes,
-        "expectations_missed": run.missed,
-        **run.figures.table(),
+        "expectations_missed": run.missed_expectations,
+        **run.figures.as_dict(),
         "validity": {k: getattr(run.validity, k) for k in run.validity.__dataclass_fields__},
         "violations": [
             {"rule": v.rule, "at_s": v.at_ns / 1e9, "request": v.request, "box": v.box, "proof": v.proof}
@@ -30,9 +30,9 @@
     }
 
 
-def rows(run: Run) -> list[tuple[str, str]]:
+def summary_rows(run: Run) -> list[tuple[str, str]]:
     """What people read at the end of a run: labels and what stands beside them."""
-    f, rules = run.figures, counts(run.violations)
+    f, rules = run.figures, violation_counts(run.violations)
     return [
         ("service", f"{f.service:.3f}   worst 10 s {f.worst_10_s:.3f}   heaviest tenth {f.heavy:.3f}"),
         ("by class", "   ".join(f"{c} {v:.3f}" for c, v in f.by_class.items())),
@@ -59,13 +59,13 @@
             f"answer p50 {f.answer_p50_ms:.0f} p99 {f.answer_p99_ms:.0f}",
         ),
         ("rules", "   ".join(f"{rule} {n}" for rule, n in rules.items())),
-        ("expected", "; ".join(run.missed) or "met"),
+        ("expected", "; ".join(run.missed_expectations) or "met"),
         ("valid", "yes" if run.validity.valid else "NO: " + "; ".join(run.validity.reasons)),
         ("plan", f"seed {run.plan.seed}   digest {run.digest}"),
     ]
 
 
-def faults(run: Run) -> list[str]:
+def failure_lines(run: Run) -> list[str]:
     """The first broken rules with their proofs, and the crashes."""
     lines = [
         f"{v.rule} at {v.at_ns / 1e9:.3f} s, request {v.request or '-'}, box {v.box or '-'}: {v.proof}"
@@ -81,7 +81,7 @@
     return "\n".join(
         [
             f"{name}: {run.plan.scenario.title}",
-            *(f"  {label:<11}{text}" for label, text in rows(run)),
-            *(f"  {line}" for line in faults(run)),
+            *(f"  {label:<11}{text}" for label, text in summary_rows(run)),
+            *(f"  {line}" for line in failure_lines(run)),
         ]
     )
--- a/lanemux/rehearsal/rules.py
+++ b/lanemux/rehearsal/rules.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from lanemux.rehearsal.books import NEVER, Attempt, BoxBooks, CallerBooks, Life, Told, Try
 from lanemux.rehearsal.plan import MS, Plan
+from lanemux.rehearsal.records import NEVER, Attempt, BoxRecords, CallerRecords, StateSpan, Told, Try
 
 LIMIT_GRACE_NS = 50 * MS  # each time limit is so much longer on sockets (PROTOCOL)
 LEFT_GRACE_NS = 100 * MS  # no attempt begins so long after its client has closed
@@ -33,7 +33,7 @@
     proof: str
 
 
-def check(plan: Plan, boxes: BoxBooks, callers: CallerBooks) -> list[Violation]:
+def find_violations(plan: Plan, boxes: BoxRecords, callers: CallerRecords) -> list[Violation]:
     """All that the books prove, in order of time."""
     names = [box.host for box in plan.boxes]
     by_id: dict[str, list[Attempt]] = defaultdict(list)
@@ -42,12 +42,12 @@
     held_up_ns = int(plan.scenario.hold_up_ms * MS)
     drain_grace_ns = int(plan.scenario.fleet.drain_grace_ms * MS) + LIMIT_GRACE_NS
     found = [
-        *lost(callers, by_id, names, callers.tries),
-        *twice(by_id, names),
-        *repeats(plan, by_id, callers.tries),
+        *lost_requests(callers, by_id, names, callers.tries),
+        *concurrent_attempts(by_id, names),
+        *disallowed_repeats(plan, by_id, callers.tries),
         *begun_for_nobody(by_id, names, callers.tries, LEFT_GRACE_NS + held_up_ns),
         *deadlines(by_id, names, callers.tries, DEADLINE_SLACK_NS + held_up_ns),
-        *drains(
+        *sends_after_drain(
             boxes.attempts,
             callers.told,
             callers.balancers_down,
@@ -55,13 +55,13 @@
             max(drain_grace_ns, LIMIT_GRACE_NS + held_up_ns),
         ),
     ]
-    for oddity in (*boxes.oddities, *callers.oddities):
+    for oddity in (*boxes.anomalies, *callers.anomalies):
         box = names[oddity.box] if oddity.box >= 0 else ""
         found.append(Violation(oddity.rule, oddity.at_ns, oddity.id, box, oddity.what))
     return sorted(found, key=lambda v: (v.at_ns, v.rule, v.request))
 
 
-def counts(violations: Iterable[Violation]) -> dict[str, int]:
+def violation_counts(violations: Iterable[Violation]) -> dict[str, int]:
     """How often each rule was broken."""
     sums = dict.fromkeys(RULES, 0)
     for violation in violations:
@@ -73,8 +73,8 @@
     return f"{at_ns / 1e9:.4f} s"
 
 
-def lost(
-    callers: CallerBooks, by_id: Mapping[str, list[Attempt]], names: list[str], tries: Iterable[Try]
+def lost_requests(
+    callers: CallerRecords, by_id: Mapping[str, list[Attempt]], names: list[str], tries: Iterable[Try]
 ) -> Iterable[Violation]:
     """These tries, where they had no answer in time, or one that no box made for them."""
     for entry in tries:
@@ -129,7 +129,7 @@
     return next((a for a in ours if a.whole_ns <= entry.crossed_ns), None)
 
 
-def _was_down(entry: Try, down: list[Life]) -> bool:
+def _was_down(entry: Try, down: list[StateSpan]) -> bool:
     """Its balancer was killed while it held the request: that is the caller's to retry."""
     return any(
         life.who == entry.balancer
@@ -180,7 +180,7 @@
                 )
 
 
-def twice(by_id: Mapping[str, list[Attempt]], names: list[str]) -> Iterable[Violation]:
+def concurrent_attempts(by_id: Mapping[str, list[Attempt]], names: list[str]) -> Iterable[Violation]:
     """Attempts of one request that were out at once."""
     for name, attempts in by_id.items():
         ordered = sorted(attempts, key=lambda a: a.whole_ns)
@@ -201,7 +201,7 @@
                     break
 
 
-def repeats(plan: Plan, by_id: Mapping[str, list[Attempt]], tries: Iterable[Try]) -> Iterable[Violation]:
+def disallowed_repeats(plan: Plan, by_id: Mapping[str, list[Attempt]], tries: Iterable[Try]) -> Iterable[Violation]:
     """Requests that are not safe to repeat: sent again, or refused, though an attempt of theirs may have run."""
     classes = {c.name: c for c in plan.scenario.classes}
     for entry in tries:
@@ -247,13 +247,13 @@
     return scope == "all" or (a.room == b.room and (scope == "zone" or a.cell == b.cell))
 
 
-def drains(
-    attempts: list[Attempt], told: Iterable[Told], down: list[Life], names: list[str], grace_ns: int
+def sends_after_drain(
+    attempts: list[Attempt], told: Iterable[Told], down: list[StateSpan], names: list[str], grace_ns: int
 ) -> Iterable[Violation]:
     """Attempts that began so long after their box was told to drain or to be gone, surely before it was up again."""
     closed: dict[tuple[int, int], list[tuple[int, int, str]]] = defaultdict(list)
-    for entry in sorted(told, key=lambda t: told_at(t)):
-        spans, at = closed[entry.balancer, entry.box], told_at(entry)
+    for entry in sorted(told, key=lambda t: notified_at(t)):
+        spans, at = closed[entry.balancer, entry.box], notified_at(entry)
         if entry.health == "up":
             if spans and spans[-1][1] == NEVER:
                 spans[-1] = (spans[-1][0], at, spans[-1][2])
@@ -276,7 +276,7 @@
                 )
 
 
-def told_at(told: Told) -> int:
+def notified_at(told: Told) -> int:
     """When it counts as told: written to the balancer, or some seconds after the agent had it."""
     if told.written_ns < 0:
         return -1
--- a/lanemux/rehearsal/run.py
+++ b/lanemux/rehearsal/run.py
@@ -19,17 +19,17 @@
 from lanemux.rehearsal import boxes_process
 from lanemux.rehearsal.addresses import Address
 from lanemux.rehearsal.balancers import Balancer, Place, free_port, pressed_ns
-from lanemux.rehearsal.books import BoxBooks, CallerBooks, Life
 from lanemux.rehearsal.callers import Callers, Front
 from lanemux.rehearsal.looks import Lateness, quiet_collector
-from lanemux.rehearsal.plan import MS, SECOND, Happening, Notice, Plan, draw, room_of, settings
+from lanemux.rehearsal.plan import MS, SECOND, Happening, Notice, Plan, draw_plan, room_of, settings
 from lanemux.rehearsal.process_monitor import ProcessMonitor
+from lanemux.rehearsal.records import BoxRecords, CallerRecords, StateSpan
 from lanemux.rehearsal.registry import Agent, ListAgent
 from lanemux.rehearsal.relay import Relay
-from lanemux.rehearsal.rules import Violation, check
-from lanemux.rehearsal.scenario import AT_BALANCERS, Scenario
-from lanemux.rehearsal.service import Figures, figures, missed
-from lanemux.rehearsal.validity import Validity, judge
+from lanemux.rehearsal.rules import Violation, find_violations
+from lanemux.rehearsal.scenario import BALANCER_EVENTS, Scenario
+from lanemux.rehearsal.service import Figures, compute_figures, missed_expectations
+from lanemux.rehearsal.validity import Validity, assess_validity
 
 LEAD_S = 0.3  # from the last balancer's readiness to the first ask
 NEW_CONNECTIONS_NS = 300 * MS  # after SIGTERM, new connections go on coming for so long
@@ -48,19 +48,19 @@
 
     plan: Plan
     digest: str
-    boxes: BoxBooks
-    callers: CallerBooks
+    boxes: BoxRecords
+    callers: CallerRecords
     figures: Figures
     violations: list[Violation]
     validity: Validity
     crashes: list[str] = field(default_factory=list)
-    missed: list[str] = field(default_factory=list)  # expectations of the scenario
+    missed_expectations: list[str] = field(default_factory=list)  # expectations of the scenario
     wall_s: float = 0.0
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """No rule broken, no balancer crashed, no expectation missed."""
-        return not (self.violations or self.crashes or self.missed)
+        return not (self.violations or self.crashes or self.missed_expectations)
 
 
 Progress = Callable[[float, Callers], None]
@@ -90,8 +90,8 @@
     """All parties of one run."""
 
     def __init__(self, scenario: Scenario, seed: int, command: Sequence[str], folder: Path) -> None:
-        self.plan = draw(scenario, seed)
-        self.books = CallerBooks()
+        self.plan = draw_plan(scenario, seed)
+        self.books = CallerRecords()
         self._loop = asyncio.get_running_loop()
         self._command, self._folder = command, folder
         # Runs beside one another on a machine take other parts of the loopback range.
@@ -104,11 +104,11 @@
         self._timers: list[asyncio.TimerHandle] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._processes = ProcessMonitor(self.books)
-        self._down: dict[int, Life] = {}
+        self._down: dict[int, StateSpan] = {}
         self._addresses: list[list[Address]] = []
         self._boxes: multiprocessing.process.BaseProcess | None = None
         self._pipe: Connection | None = None
-        self._box_books: asyncio.Future[BoxBooks] = self._loop.create_future()
+        self._box_books: asyncio.Future[BoxRecords] = self._loop.create_future()
 
     def now(self) -> int:
         return int(self._loop.time() * 1e9) - self._zero_ns
@@ -132,7 +132,7 @@
             place.discovery = await agent.open(f"{self._prefix}.202.{number + 1}")
             place.operators = agent.operators() + self.plan.scenario.operators
             place.peers, place.peers_all = peers[number], everyone[number]
-            for box in self.plan.first:
+            for box in self.plan.initial_boxes:
                 self._notice(agent, Notice(0, box, "up", 0), first=True)
             self._balancers.append(
                 Balancer(number, self._command, place, self._folder, settings(self.plan, number), self.plan.seed)
@@ -207,7 +207,7 @@
         for happening in self.plan.happenings:
             if happening.what == "flood":
                 self._at(happening.at_ns, self._spawn_flood, happening)
-            elif happening.what in AT_BALANCERS:
+            elif happening.what in BALANCER_EVENTS:
                 self._at(happening.at_ns, self._to_balancer, happening, front)
         lateness = Lateness(self._loop, self.books.lag_ns)
         quiet_collector()
@@ -224,17 +224,17 @@
         boxes = await self._box_books
         for life in self._down.values():
             life.to_ns = self.now()
-        found = figures(self.plan, boxes, self.books)
+        found = compute_figures(self.plan, boxes, self.books)
         return Run(
             self.plan,
             self.plan.digest(),
             boxes,
             self.books,
             found,
-            check(self.plan, boxes, self.books),
-            judge(boxes, self.books),
+            find_violations(self.plan, boxes, self.books),
+            assess_validity(boxes, self.books),
             self.books.crashes + [f"the kit itself: {fault}" for fault in (*boxes.faults, *self.books.faults)],
-            missed(self.plan, found),
+            missed_expectations(self.plan, found),
         )
 
     def _at(self, at_ns: int, do: Callable[..., object], *args: object) -> None:
@@ -253,7 +253,7 @@
         balancer = self._balancers[happening.who]
         if happening.what == "kill":
             balancer.kill()
-            self._down[happening.who] = Life(happening.who, "down", self.now())
+            self._down[happening.who] = StateSpan(happening.who, "down", self.now())
             self.books.balancers_down.append(self._down[happening.who])
             self._at(self.now() + self.plan.fronts_notice_ns, front.known.discard, happening.who)
         elif happening.what == "restart":
@@ -264,7 +264,7 @@
     async def _end(self, balancer: Balancer, happening: Happening, front: Front) -> None:
         """A planned end: the front takes it out soon after, and clients go on using what is open."""
         who = balancer.number
-        self._down[who] = Life(who, "restarting", self.now())
+        self._down[who] = StateSpan(who, "restarting", self.now())
         self.books.balancers_down.append(self._down[who])
         front.ending.add(who)
         self._at(self.now() + NEW_CONNECTIONS_NS, front.known.discard, who)
@@ -321,7 +321,7 @@
     async def _look_at_processes(self) -> None:
         balancers = [b.process.pid for b in self._balancers if b.process is not None and b.process.poll() is None]
         boxes = [self._boxes.pid] if self._boxes is not None and self._boxes.pid else []
-        await self._processes.look([os.getpid(), *boxes], balancers, counts=self.now() > SECOND)
+        await self._processes.sample([os.getpid(), *boxes], balancers, record_waits=self.now() > SECOND)
         self._note_crashes()
 
     def _note_crashes(self) -> None:
--- a/lanemux/rehearsal/scenario.py
+++ b/lanemux/rehearsal/scenario.py
@@ -16,7 +16,7 @@
 MAX_BALANCERS = 192  # one byte of a loopback address numbers them; from 200 on it stands for parts of the kit
 MAX_ASKS = 200_000  # the books of a run stay in memory, some KiB for each ask
 FAULTS = ("freeze", "neighbour", "heavy", "deploy", "crash", "vanish", "kill", "flood", "partner", "restart")
-AT_BALANCERS = ("kill", "revive", "flood", "restart")  # what befalls balancers and not boxes
+BALANCER_EVENTS = ("kill", "revive", "flood", "restart")  # what befalls balancers and not boxes
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,13 +183,13 @@
     operators: str = ""  # the balancers' own operators' file (TOML); "": they have none
 
 
-USUAL_CLASSES = (
+DEFAULT_CLASSES = (
     RequestClass("rate-lookup", 0.36, 75.0, 0.6, 0.3, worth=3.0),
     RequestClass("fee-quote", 0.27, 78.0, 0.68, 0.3, worth=5.0),
     RequestClass("rate-history", 0.24, 76.0, 0.63, 0.32, worth=3.0),
     RequestClass("corridor-list", 0.13, 81.0, 0.66, 0.35, worth=1.0),
 )
-USUAL_PARTNERS = tuple(
+DEFAULT_PARTNERS = tuple(
     Partner(name, share, usage)
     for name, share, usage in (
         ("brooklyn-desk", 0.20, (0.63, 1.4)),
@@ -211,12 +211,12 @@
     Where it names no classes or no partners, those of the quote service hold."""
     scenario = build(Scenario, parse(text, where), where)
     scenario = dataclasses.replace(
-        scenario, classes=scenario.classes or USUAL_CLASSES, partners=scenario.partners or USUAL_PARTNERS
+        scenario, classes=scenario.classes or DEFAULT_CLASSES, partners=scenario.partners or DEFAULT_PARTNERS
     )
-    return checked(scenario, where)
+    return validated(scenario, where)
 
 
-def checked(scenario: Scenario, where: str) -> Scenario:
+def validated(scenario: Scenario, where: str) -> Scenario:
     """The same scenario, if its parts fit together; else ValidationError."""
     faults = [
         f"{where}: {name}: the low end lies above the high end"
--- a/lanemux/rehearsal/service.py
+++ b/lanemux/rehearsal/service.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import asdict, dataclass, field
 
-from lanemux.rehearsal.books import Attempt, BoxBooks, CallerBooks, Life, Try
 from lanemux.rehearsal.plan import MS, SECOND, Ask, Plan
+from lanemux.rehearsal.records import Attempt, BoxRecords, CallerRecords, StateSpan, Try
 
 WORST_S = 10  # length of the worst stretch
 BIN_NS = SECOND // 2  # of the plots
@@ -76,7 +76,7 @@
     descriptors_most: int = 0
     memory_most_mb: float = 0.0
 
-    def table(self) -> dict[str, object]:
+    def as_dict(self) -> dict[str, object]:
         return asdict(self)
 
 
@@ -96,7 +96,7 @@
     in_time: bool
 
 
-def results(plan: Plan, tries: Iterable[Try]) -> list[Result]:
+def ask_results(plan: Plan, tries: Iterable[Try]) -> list[Result]:
     """Every ask that counts, with its first answer, whichever try and balancer it came by."""
     served: dict[int, int] = {}
     for entry in tries:
@@ -143,20 +143,20 @@
     """Each partner's share of worth answered in time, of what it asked within its share of all that was asked."""
     whole = sum(p.share for p in plan.scenario.partners)
     asked_in_all = sum(r.worth for r in rows)
-    figures = {}
+    service_by_partner = {}
     for name, own in _grouped(rows, lambda r: r.ask.partner).items():
         share = next(p.share for p in plan.scenario.partners if p.name == name) / whole
         asked, earned = sum(r.worth for r in own), sum(r.worth * r.in_time for r in own)
         within = min(asked, share * asked_in_all)
-        figures[name] = min(1.0, earned / within) if within else 0.0
-    return figures
+        service_by_partner[name] = min(1.0, earned / within) if within else 0.0
+    return service_by_partner
 
 
-def _blindness(plan: Plan, boxes: BoxBooks, attempts: list[Attempt]) -> float:
+def _blindness(plan: Plan, boxes: BoxRecords, attempts: list[Attempt]) -> float:
     """How far attempts went to boxes that stood still: 0 never, 1 as often as blind chance would."""
     end = int(plan.scenario.seconds * SECOND)
-    frozen = [life for life in boxes.lives if life.state == "frozen"]
-    spans: dict[int, list[Life]] = defaultdict(list)
+    frozen = [life for life in boxes.state_spans if life.state == "frozen"]
+    spans: dict[int, list[StateSpan]] = defaultdict(list)
     for life in frozen:
         spans[life.who].append(life)
     met = sum(
@@ -194,9 +194,9 @@
     return max(counts) * len(counts) / sum(counts) if sum(counts) else 0.0
 
 
-def figures(plan: Plan, boxes: BoxBooks, callers: CallerBooks) -> Figures:
+def compute_figures(plan: Plan, boxes: BoxRecords, callers: CallerRecords) -> Figures:
     """The figures of a run, from the books alone."""
-    rows = results(plan, callers.tries)
+    rows = ask_results(plan, callers.tries)
     counted = {r.ask.number for r in rows}
     tries = [t for t in callers.tries if t.ask in counted]
     by_id = {t.id: t for t in tries}
@@ -257,7 +257,7 @@
     )
 
 
-def missed(plan: Plan, found: Figures) -> list[str]:
+def missed_expectations(plan: Plan, found: Figures) -> list[str]:
     """The scenario's expectations that the figures do not meet, each in one line."""
     expect, boxes = plan.scenario.expect, plan.scenario.fleet.boxes
     least = [("service", found.service, expect.service_least), ("heavy", found.heavy, expect.heavy_least)]
@@ -273,14 +273,14 @@
     ]
 
 
-def over_time(plan: Plan, boxes: BoxBooks, callers: CallerBooks) -> list[Point]:
+def time_series(plan: Plan, boxes: BoxRecords, callers: CallerRecords) -> list[Point]:
     """The run in steps, for the plots: worth by when it was asked, the rest by when it happened."""
     points = [Point(i * BIN_NS / SECOND) for i in range(int(plan.scenario.seconds * SECOND // BIN_NS) + 1)]
 
     def point(at_ns: int) -> Point:
         return points[min(len(points) - 1, max(0, at_ns // BIN_NS))]
 
-    for r in results(plan, callers.tries):
+    for r in ask_results(plan, callers.tries):
         point(r.ask.at_ns).asked[r.ask.class_name] += r.worth
         point(r.ask.at_ns).asks += 1
         point(r.ask.at_ns).earned[r.ask.class_name] += r.worth * r.in_time
--- a/lanemux/rehearsal/soak/command.py
+++ b/lanemux/rehearsal/soak/command.py
@@ -16,8 +16,8 @@
 from lanemux.rehearsal import report
 from lanemux.rehearsal.calls.library import NoCompiler, build
 from lanemux.rehearsal.calls.rules import written
-from lanemux.rehearsal.command import BY_SIGNAL, EndedBySignal, rehearse_until_told
-from lanemux.rehearsal.rules import counts
+from lanemux.rehearsal.command import SIGNAL_STATUS_BASE, EndedBySignal, rehearse_until_signal
+from lanemux.rehearsal.rules import violation_counts
 from lanemux.rehearsal.run import CannotRun, Run
 from lanemux.rehearsal.soak.draw import SECONDS, SoakRun, draw
 
@@ -75,7 +75,7 @@
             outcomes.append(_play(run, options.module, Path(options.evidence), keep))
         except EndedBySignal as error:
             print(f"lanemux: ended by {error.by.name} during seed {seed}", file=sys.stderr)
-            return BY_SIGNAL + error.by
+            return SIGNAL_STATUS_BASE + error.by
         print(_line(outcomes[-1]), flush=True)
     if options.json:
         Path(options.json).write_text(json.dumps({"outcomes": [asdict(o) for o in outcomes]}, indent=1) + "\n")
@@ -101,7 +101,7 @@
     """One seed against balancers that this module starts; its folder stays where it failed or is a replay."""
     with tempfile.TemporaryDirectory(prefix=f"soak-{run.seed}-") as folder:
         plan = Path(folder) / "injection.json"
-        plan.write_text(run.injection.text())
+        plan.write_text(run.injection.to_json())
         preload = _preload(run, Path(folder))
         command = [*preload, sys.executable, "-m", "lanemux.rehearsal.injection", str(plan), module]
         logs = Path(folder) / "logs"
@@ -110,7 +110,7 @@
         try:
             outcome = _judged(
                 run.seed,
-                asyncio.run(rehearse_until_told(run.scenario, run.seed, command, folder=logs)),
+                asyncio.run(rehearse_until_signal(run.scenario, run.seed, command, folder=logs)),
                 evidence / str(run.seed),
             )
         except CannotRun as error:
@@ -144,10 +144,10 @@
     outcome = Outcome(
         seed,
         run.validity.valid,
-        run.kept,
-        counts(run.violations),
+        run.passed,
+        violation_counts(run.violations),
         run.crashes,
-        report.faults(run),
+        report.failure_lines(run),
         run.figures.service,
         run.callers.busiest_share,
         run.callers.descriptors_most,
--- a/lanemux/rehearsal/soak/draw.py
+++ b/lanemux/rehearsal/soak/draw.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, replace
 
 from lanemux.rehearsal.calls.rules import ERRORS, WHOLE_LIFE_MS, Rule
-from lanemux.rehearsal.injection_plan import HOLD_UP_S, ClockStep, Plan, Window
+from lanemux.rehearsal.injection_plan import HOLD_UP_S, ClockStep, InjectionPlan, Window
 from lanemux.rehearsal.scenario import (
-    USUAL_PARTNERS,
+    DEFAULT_PARTNERS,
     Callers,
     Discovery,
     Expect,
@@ -18,7 +18,7 @@
     Load,
     RequestClass,
     Scenario,
-    checked,
+    validated,
 )
 
 SECONDS = 8.0  # of one run
@@ -68,7 +68,7 @@
 
     seed: int
     scenario: Scenario
-    injection: Plan
+    injection: InjectionPlan
     calls: Sequence[Rule] = ()  # calls of the C library that fail in the balancers
 
 
@@ -115,7 +115,7 @@
     return rng.choice([error for error in ERRORS[kind] if error not in ("EINTR", "EAGAIN")])
 
 
-def _draw_injection(seed: int, rng: random.Random, deadline_ms: float) -> Plan:
+def _draw_injection(seed: int, rng: random.Random, deadline_ms: float) -> InjectionPlan:
     windows = []
     if rng.random() < 0.6:
         call, error = rng.choice(START_ERRORS)
@@ -128,7 +128,7 @@
             Window("accept", "EMFILE", from_s + accept_s, from_s),
         ]
     steps = [ClockStep(rng.uniform(1.0, 6.0), rng.choice(WALL_STEPS_S)) for _ in range(rng.choice((0, 0, 1, 3)))]
-    return Plan(
+    return InjectionPlan(
         seed=seed,
         windows=windows,
         clock_steps=steps,
@@ -142,7 +142,9 @@
     )
 
 
-def _draw_scenario(seed: int, rng: random.Random, seconds: float, deadline_ms: float, injection: Plan) -> Scenario:
+def _draw_scenario(
+    seed: int, rng: random.Random, seconds: float, deadline_ms: float, injection: InjectionPlan
+) -> Scenario:
     aim_ms = deadline_ms * rng.uniform(0.4, 0.8)
     classes = tuple(
         RequestClass(
@@ -160,12 +162,12 @@
     )
     boxes = rng.randint(5, 9)
     balancers = MANY_BALANCERS if rng.random() < 0.1 else rng.randint(3, 5)
-    return checked(
+    return validated(
         Scenario(
             title=f"soak, seed {seed}",
             seconds=seconds,
             classes=classes,
-            partners=USUAL_PARTNERS,
+            partners=DEFAULT_PARTNERS,
             fleet=Fleet(boxes=boxes, balancers=balancers, cold_s=(2.0, 4.0), cold_worst_s=4.0),
             load=Load(rate=rng.uniform(*LOAD) * boxes * 1000 / WORK_MS),
             callers=Callers(
--- a/lanemux/rehearsal/terminal.py
+++ b/lanemux/rehearsal/terminal.py
@@ -11,27 +11,27 @@
 
 from lanemux.rehearsal import report
 from lanemux.rehearsal.callers import Callers
-from lanemux.rehearsal.rules import counts
+from lanemux.rehearsal.rules import violation_counts
 from lanemux.rehearsal.run import Run
 
 
-def show(run: Run, name: str, console: Console) -> None:
+def print_summary(run: Run, name: str, console: Console) -> None:
     """The table; what is wrong is red."""
     wrong = {
-        "rules": any(counts(run.violations).values()),
-        "expected": bool(run.missed),
+        "rules": any(violation_counts(run.violations).values()),
+        "expected": bool(run.missed_expectations),
         "valid": not run.validity.valid,
     }
     table = Table(title=f"{name}: {run.plan.scenario.title}", title_justify="left", show_header=False, box=None)
-    for label, text in report.rows(run):
+    for label, text in report.summary_rows(run):
         style = "" if label not in wrong else "bold red" if wrong[label] else "green"
         table.add_row(label, Text(text, style=style))
     console.print(table)
-    for line in report.faults(run):
+    for line in report.failure_lines(run):
         console.print(Text(line, style="red"))
 
 
-class Bar:
+class ProgressBar:
     """How far a run is; told once a second."""
 
     def __init__(self, console: Console) -> None:
@@ -44,7 +44,7 @@
         )
         self._task: TaskID | None = None
 
-    def __enter__(self) -> Bar:
+    def __enter__(self) -> ProgressBar:
         self._bar.start()
         return self
 
@@ -53,7 +53,7 @@
     ) -> None:
         self._bar.stop()
 
-    def tell(self, at_s: float, callers: Callers) -> None:
+    def update(self, at_s: float, callers: Callers) -> None:
         whole = callers.plan.scenario.seconds
         said = f"{callers.asked} asks, {len(callers.books.tries)} tries"
         if self._task is None:
--- a/lanemux/virtual/balancer.py
+++ b/lanemux/virtual/balancer.py
@@ -6,7 +6,7 @@
 
 from lanemux.net.node import Node
 from lanemux.rehearsal.balancers import Place
-from lanemux.rehearsal.books import Life
+from lanemux.rehearsal.records import StateSpan
 from lanemux.rehearsal.registry import ListAgent
 from lanemux.virtual.observed import Observed
 from lanemux.virtual.process import Process
@@ -29,4 +29,4 @@
     moves: int = 0
     member_up_ns: int = 0  # its etcd member has come up again by then
     ending: bool = False
-    life: Life | None = None
+    life: StateSpan | None = None
--- a/lanemux/virtual/faults/balancer.py
+++ b/lanemux/virtual/faults/balancer.py
@@ -6,8 +6,8 @@
 import signal
 from typing import TYPE_CHECKING
 
-from lanemux.rehearsal.books import Life
 from lanemux.rehearsal.plan import MS, SECOND
+from lanemux.rehearsal.records import StateSpan
 from lanemux.rehearsal.registry import Agent
 from lanemux.virtual.balancer import CONFIGURATION, RestartableBalancer
 from lanemux.virtual.faults import BalancerFault
@@ -102,7 +102,7 @@
         self._stage.later(lasts_ns, lambda: self._again(balancer))
 
     def _down(self, balancer: RestartableBalancer) -> None:
-        balancer.life = Life(balancer.number, "down", self._stage.now())
+        balancer.life = StateSpan(balancer.number, "down", self._stage.now())
         self._stage.books.balancers_down.append(balancer.life)
 
     def _again(self, balancer: RestartableBalancer) -> None:
--- a/lanemux/virtual/judge.py
+++ b/lanemux/virtual/judge.py
@@ -11,9 +11,17 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from lanemux.rehearsal.books import NEVER, Attempt, BoxBooks, CallerBooks, Told, Try
 from lanemux.rehearsal.plan import MS, Plan
-from lanemux.rehearsal.rules import LIMIT_GRACE_NS, Violation, drains, lost, repeats, told_at, twice
+from lanemux.rehearsal.records import NEVER, Attempt, BoxRecords, CallerRecords, Told, Try
+from lanemux.rehearsal.rules import (
+    LIMIT_GRACE_NS,
+    Violation,
+    concurrent_attempts,
+    disallowed_repeats,
+    lost_requests,
+    notified_at,
+    sends_after_drain,
+)
 
 HERD = 20  # refusals that are looked at together
 REFUSED_WITHIN_NS = 300 * MS  # their span
@@ -95,8 +103,8 @@
     def __init__(
         self,
         plan: Plan,
-        boxes: BoxBooks,
-        callers: CallerBooks,
+        boxes: BoxRecords,
+        callers: CallerRecords,
         excuses: Excuses,
         closed: Callable[[int, int], list[list[int]]] = lambda balancer, box: [],
         placed: Callable[[int, int], bool] = lambda balancer, box: True,
@@ -145,15 +153,15 @@
 
     def _judge_request(self, name: str) -> None:
         attempts = {name: self._by_id[name]}
-        self._hold(twice(attempts, self._names))
+        self._hold(concurrent_attempts(attempts, self._names))
         if name in self._try_of:
-            self._hold(repeats(self._plan, attempts, [self._try_of[name]]))
+            self._hold(disallowed_repeats(self._plan, attempts, [self._try_of[name]]))
 
     def _lost(self, entry: Try) -> Iterable[Violation]:
         """As the kit's rule, and late answers too: here the caller waits on for what may be excused."""
         if entry.how == "lost" and self._excuses.never_taken(entry):
             return
-        yield from lost(self._callers, self._by_id, self._names, [entry])
+        yield from lost_requests(self._callers, self._by_id, self._names, [entry])
         if entry.how != "answered":
             return
         by = entry.deadline_ns + LIMIT_GRACE_NS
@@ -183,9 +191,9 @@
         rows = [
             t
             for t in self._callers.told
-            if (t.balancer, t.box) == (attempt.balancer, attempt.box) and told_at(t) >= began
+            if (t.balancer, t.box) == (attempt.balancer, attempt.box) and notified_at(t) >= began
         ]
-        return drains(
+        return sends_after_drain(
             [attempt], self._counted(rows), self._callers.balancers_down, self._names, self._grace_ns + LIMIT_GRACE_NS
         )
 
@@ -222,7 +230,7 @@
         next_up = NEVER
         for row in reversed(rows):
             if row.health == "up":
-                next_up = min(next_up, told_at(row))
+                next_up = min(next_up, notified_at(row))
                 yield row
                 continue
             counted = dataclasses.replace(
@@ -230,14 +238,14 @@
                 written_ns=self._excuses.told_ns(row.balancer, row.written_ns, self._grace_ns, True),
                 due_ns=self._excuses.told_ns(row.balancer, row.due_ns, self._grace_ns, False),
             )
-            if told_at(counted) < next_up:
+            if notified_at(counted) < next_up:
                 yield counted
 
     def _odd(self) -> None:
-        for oddity in (*self._boxes.oddities[self._odd_boxes :], *self._callers.oddities[self._odd_callers :]):
+        for oddity in (*self._boxes.anomalies[self._odd_boxes :], *self._callers.anomalies[self._odd_callers :]):
             box = self._names[oddity.box] if oddity.box >= 0 else ""
             self._hold([Violation(oddity.rule, oddity.at_ns, oddity.id, box, oddity.what)])
-        self._odd_boxes, self._odd_callers = len(self._boxes.oddities), len(self._callers.oddities)
+        self._odd_boxes, self._odd_callers = len(self._boxes.anomalies), len(self._callers.anomalies)
 
     def _hold(self, found: Iterable[Violation]) -> None:
         for violation in found:
--- a/lanemux/virtual/stage.py
+++ b/lanemux/virtual/stage.py
@@ -24,17 +24,17 @@
 from lanemux.net.node import Node
 from lanemux.net.reload import Lists
 from lanemux.policy import Balancer
-from lanemux.rehearsal.addresses import reserve
+from lanemux.rehearsal.addresses import reserve_addresses
 from lanemux.rehearsal.balancers import Place, configuration
-from lanemux.rehearsal.books import BoxBooks, CallerBooks
 from lanemux.rehearsal.box_world import World as BoxWorld
 from lanemux.rehearsal.boxes import Boxes
 from lanemux.rehearsal.callers import Callers, Front
-from lanemux.rehearsal.plan import MS, SECOND, Happening, Notice, Plan, draw, room_of, settings
+from lanemux.rehearsal.plan import MS, SECOND, Happening, Notice, Plan, draw_plan, room_of, settings
+from lanemux.rehearsal.records import BoxRecords, CallerRecords
 from lanemux.rehearsal.registry import Agent, ListAgent
 from lanemux.rehearsal.relay import Relay
 from lanemux.rehearsal.rules import Violation
-from lanemux.rehearsal.service import Figures, figures
+from lanemux.rehearsal.service import Figures, compute_figures
 from lanemux.storm.connection_admission import ConnectionAdmission
 from lanemux.storm.module import StormModule, StormOptions
 from lanemux.virtual import leftovers
@@ -72,8 +72,8 @@
     asks: int
     figures: Figures
     plan: Plan
-    books: CallerBooks
-    boxes: BoxBooks
+    books: CallerRecords
+    boxes: BoxRecords
     steps: int = 0
     virtual_s: float = 0.0
     covered: Counter[tuple[str, str]] = field(default_factory=Counter)  # (fault, event that brought it, or "time")
@@ -94,7 +94,7 @@
         self.script = script
         self._around = around or (_storm if script.storm else None)
         made = made or setting(script.seed, script.calm, script.storm)
-        self.plan = draw(made.scenario, script.seed)
+        self.plan = draw_plan(made.scenario, script.seed)
         self.drawn = len(self.plan.asks)
         if script.asks is not None:
             kept = set(script.asks)
@@ -103,7 +103,7 @@
         self.sockets = made.sockets
         self.world = World(f"{script.seed}/world", made.weather)
         self.world.busy_ns = made.busy_ns
-        self.books, self.boxes_books, self.excuses = CallerBooks(), BoxBooks(), Excuses()
+        self.books, self.boxes_books, self.excuses = CallerRecords(), BoxRecords(), Excuses()
         self.closed: dict[int, dict[int, list[list[int]]]] = {}  # balancer -> upstream -> spans from read news to news
         self.ids = Membership(0)  # numbers hosts as every balancer does
         self.judge = Judge(
@@ -170,7 +170,7 @@
                 self._blame("crash", f"{process.name}: {fault}")
         for part in (self.books.tries, self.boxes_books.attempts, self.books.told, self.judge.violations):
             self.world.note(part)
-        found = figures(self.plan, self.boxes_books, self.books)
+        found = compute_figures(self.plan, self.boxes_books, self.books)
         return Result(
             self.script,
             self.judge.violations,
@@ -252,7 +252,7 @@
             place.discovery = await agent.open(f"127.0.202.{b + 1}")
             network.places[place.discovery] = ("list", b)
             place.peers, place.peers_all = peers[b], everyone[b]
-            for box in self.plan.first:
+            for box in self.plan.initial_boxes:
                 self.said[box] = ("up", 0)
                 agent.tell(self.plan.boxes[box], self.addresses[box][b], Notice(0, box, "up", 0), True)
             self.balancers.append(RestartableBalancer(b, place, agent, settings(self.plan, b)))
@@ -271,7 +271,7 @@
         world = BoxWorld(
             process.loop, self.plan, NoLooks(), self.boxes_books, ZERO_NS, asks, self._fell, ExactSight(process), make
         )
-        self.addresses = reserve(self.plan, "127.0", make)
+        self.addresses = reserve_addresses(self.plan, "127.0", make)
         for slot, row in enumerate(self.addresses):
             self.world.network.places.update({address: ("box", slot) for address in row})
         self.boxes = Boxes(world, self.addresses)
--- a/tests/faults/program.py
+++ b/tests/faults/program.py
@@ -11,7 +11,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from lanemux.rehearsal.injection_plan import Plan
+from lanemux.rehearsal.injection_plan import InjectionPlan
 from tests.sockets import HOST, PATIENCE_S
 from tests.test_process import config
 
@@ -61,13 +61,13 @@
 
 @asynccontextmanager
 async def balancer(
-    folder: Path, plan: Plan, configuration: dict[str, object] | None = None, **environment: str
+    folder: Path, plan: InjectionPlan, configuration: dict[str, object] | None = None, **environment: str
 ) -> AsyncIterator[Program]:
     """Started, not ready yet; killed at the end unless it has ended."""
     path, injected = folder / "config.json", folder / "plan.json"
     if not path.exists():
         path.write_text(json.dumps(configuration or config()))
-    injected.write_text(plan.text())
+    injected.write_text(plan.to_json())
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/faults/test_connect.py
+++ b/tests/faults/test_connect.py
@@ -13,7 +13,7 @@
 import pytest
 
 from lanemux import interface as api
-from lanemux.rehearsal.injection_plan import Plan, Window
+from lanemux.rehearsal.injection_plan import InjectionPlan, Window
 from tests.faults.modules import sends_once
 from tests.faults.program import balancer
 from tests.sockets import MS, Upstream, answers, node, request, run, until
@@ -71,7 +71,7 @@
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
         gone = [Window(call, "EMFILE", from_s=1.0, until_s=4.0) for call in ("socket", "accept")]
-        async with balancer(tmp_path, Plan(windows=gone), config(upstream.port)) as program:
+        async with balancer(tmp_path, InjectionPlan(windows=gone), config(upstream.port)) as program:
             port = await program.ready()
             began = time.monotonic()
             statuses = []
@@ -90,7 +90,7 @@
     async def test() -> None:
         body = bytes(range(256)) * 40
         upstream = await Upstream(answers(200, body)).start()
-        plan = Plan(seed=7, short_share=0.5, hold_up_share=0.02, accept_share=0.3, connect_share=0.3)
+        plan = InjectionPlan(seed=7, short_share=0.5, hold_up_share=0.02, accept_share=0.3, connect_share=0.3)
         async with balancer(tmp_path, plan, config(upstream.port)) as program:
             port = await program.ready()
             for i in range(12):
--- a/tests/faults/test_deadlines.py
+++ b/tests/faults/test_deadlines.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from lanemux.rehearsal.injection_plan import Plan
+from lanemux.rehearsal.injection_plan import InjectionPlan
 from tests.faults.modules import sends_once
 from tests.faults.program import balancer
 from tests.sockets import HOST, Got, Upstream, Writer, node, read, request, run, written
@@ -88,7 +88,7 @@
     async def test() -> None:
         upstream = Watch()
         await upstream.start()
-        async with balancer(tmp_path, Plan(), config(upstream.port)) as program:
+        async with balancer(tmp_path, InjectionPlan(), config(upstream.port)) as program:
             reader, writer = await asyncio.open_connection(HOST, await program.ready())
             for stands_still in (False, True, False):
                 if stands_still:
--- a/tests/faults/test_start_and_stop.py
+++ b/tests/faults/test_start_and_stop.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from lanemux.rehearsal.injection_plan import Plan, Window
+from lanemux.rehearsal.injection_plan import InjectionPlan, Window
 from tests.faults.program import balancer, free_port
 from tests.sockets import HOST, PATIENCE_S, Registry, Upstream, answers, request, run, until
 from tests.test_process import ask, config
@@ -21,7 +21,7 @@
 FOR_S = 0.8  # a start is at its sockets after some 0.2 s
 
 
-async def ends_in_order(folder: Path, plan: Plan, *upstreams: int) -> list[str]:
+async def ends_in_order(folder: Path, plan: InjectionPlan, *upstreams: int) -> list[str]:
     """It gets ready, serves and ends with status 0; its log."""
     async with balancer(folder, plan, config(*upstreams)) as program:
         port = await program.ready()
@@ -47,7 +47,7 @@
 def test_a_start_whose_sockets_cannot_be_had_for_a_while_comes_up(tmp_path: Path, call: str, error: str) -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
-        lines = await ends_in_order(tmp_path, Plan(windows=[Window(call, error, FOR_S)]), upstream.port)
+        lines = await ends_in_order(tmp_path, InjectionPlan(windows=[Window(call, error, FOR_S)]), upstream.port)
         assert sum("is tried again" in line for line in lines) >= 1
         assert len(lines) < 20  # each kind is told once, not at every try
         upstream.stop()
@@ -61,7 +61,7 @@
             holder.bind((HOST, 0))
             holder.listen()
             port = holder.getsockname()[1]
-            async with balancer(tmp_path, Plan(), config(listen=f"{HOST}:{port}")) as program:
+            async with balancer(tmp_path, InjectionPlan(), config(listen=f"{HOST}:{port}")) as program:
                 await program.until_said("is tried again")
                 holder.close()
                 assert await program.ready() == port
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("call", ["socket", "bind"])
 def test_a_start_that_waits_for_its_sockets_can_be_ended(tmp_path: Path, told: signal.Signals, call: str) -> None:
     async def test() -> None:
-        plan = Plan(windows=[Window(call, "ENOBUFS", 10 * PATIENCE_S)])
+        plan = InjectionPlan(windows=[Window(call, "ENOBUFS", 10 * PATIENCE_S)])
         async with balancer(tmp_path, plan, config()) as program:
             await program.until_said("is tried again")
             program.process.send_signal(signal.SIGHUP)
@@ -93,7 +93,7 @@
             if kind == socket.SOCK_STREAM:
                 holder.listen()
             told = config(upstream.port, **{held: f"{HOST}:{holder.getsockname()[1]}"})
-            async with balancer(tmp_path, Plan(), told) as program:
+            async with balancer(tmp_path, InjectionPlan(), told) as program:
                 port = await program.ready()
                 assert (await ask(port, request())).status == 200
                 await program.until_said("is tried again")
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("waits_s", [0.0, 0.3, 0.56])
 def test_signals_in_series_end_a_process_in_order(tmp_path: Path, waits_s: float) -> None:
     async def test() -> None:
-        async with balancer(tmp_path, Plan()) as program:
+        async with balancer(tmp_path, InjectionPlan()) as program:
             await program.ready()
             program.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(waits_s)
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("error", ["EIO", "EMFILE", "EINTR"])
 def test_a_configuration_that_cannot_be_read_for_a_while_is_read_later(tmp_path: Path, error: str) -> None:
     async def test() -> None:
-        await ends_in_order(tmp_path, Plan(windows=[Window("read_file", error, FOR_S)]))
+        await ends_in_order(tmp_path, InjectionPlan(windows=[Window("read_file", error, FOR_S)]))
 
     run(test())
 
@@ -138,7 +138,7 @@
     async def test() -> None:
         text, path = json.dumps(config()), tmp_path / "config.json"
         path.write_text(text[: len(text) // 2])
-        async with balancer(tmp_path, Plan()) as program:
+        async with balancer(tmp_path, InjectionPlan()) as program:
             await asyncio.sleep(FOR_S)
             path.write_text(text)
             await program.ready()
@@ -150,7 +150,7 @@
     async def test() -> None:
         registry = Registry()
         await registry.upstream.start()
-        plan = Plan(windows=[Window("read_file", "EIO", from_s=FOR_S, until_s=3 * FOR_S)])
+        plan = InjectionPlan(windows=[Window("read_file", "EIO", from_s=FOR_S, until_s=3 * FOR_S)])
         async with balancer(tmp_path, plan) as program:
             await program.ready()
             await asyncio.sleep(FOR_S)
@@ -164,7 +164,7 @@
 
 def test_an_address_without_the_privilege_for_it_ends_a_start_with_status_2(tmp_path: Path) -> None:
     async def test() -> None:
-        plan = Plan(windows=[Window("bind", "EACCES", 10 * PATIENCE_S)])
+        plan = InjectionPlan(windows=[Window("bind", "EACCES", 10 * PATIENCE_S)])
         async with balancer(tmp_path, plan, config(listen=f"{HOST}:{free_port()}")) as program:
             assert await program.ended() == 2
             plain = [line for line in program.lines if " INFO " not in line]
--- a/tests/rehearsal/test_boxes.py
+++ b/tests/rehearsal/test_boxes.py
@@ -11,14 +11,14 @@
 import pytest
 
 from lanemux.rehearsal import framing
-from lanemux.rehearsal.addresses import Address, reserve
-from lanemux.rehearsal.books import BoxBooks
+from lanemux.rehearsal.addresses import Address, reserve_addresses
 from lanemux.rehearsal.box_host import Host
 from lanemux.rehearsal.box_world import World
 from lanemux.rehearsal.boxes import Boxes
-from lanemux.rehearsal.command import find
+from lanemux.rehearsal.command import find_scenario
 from lanemux.rehearsal.looks import WatchedSelector
-from lanemux.rehearsal.plan import MS, draw
+from lanemux.rehearsal.plan import MS, draw_plan
+from lanemux.rehearsal.records import BoxRecords
 from lanemux.rehearsal.request_form import target_of
 
 SHORT_S = 0.05
@@ -55,18 +55,18 @@
 @asynccontextmanager
 async def yard(looks: WatchedSelector) -> AsyncIterator[Yard]:
     loop = asyncio.get_running_loop()
-    plan = draw(dataclasses.replace(find("calm-short"), seconds=1.0), 1)
+    plan = draw_plan(dataclasses.replace(find_scenario("calm-short"), seconds=1.0), 1)
     plan.asks[0] = dataclasses.replace(plan.asks[0], work_ns=20 * MS)
     world = World(
         loop,
         plan,
         looks,
-        BoxBooks(),
+        BoxRecords(),
         int(loop.time() * 1e9),
         {name: ask for ask in plan.asks for name in ask.ids},
         lambda box, at: None,
     )
-    addresses = reserve(plan, "127.61")
+    addresses = reserve_addresses(plan, "127.61")
     boxes = Boxes(world, addresses)
     boxes.open()
     try:
@@ -141,7 +141,7 @@
         yard.host.start(cold=True)
         _, again = await asyncio.open_connection(*yard.address)
         again.close()
-        assert [life.state for life in yard.world.books.lives] == ["draining", "down", "cold"]
+        assert [life.state for life in yard.world.books.state_spans] == ["draining", "down", "cold"]
 
     on_boxes(test)
 
@@ -188,7 +188,7 @@
             writer.write(framing.request(target, {"Req-Id": name} if name else {}))
             assert (await answer(reader)).status == status
             writer.close()
-        assert [o.rule for o in yard.world.books.oddities] == ["foreign"] * 3
+        assert [o.rule for o in yard.world.books.anomalies] == ["foreign"] * 3
 
     on_boxes(test)
 
--- a/tests/rehearsal/test_process_monitor.py
+++ b/tests/rehearsal/test_process_monitor.py
@@ -5,10 +5,10 @@
 import asyncio
 import os
 
-from lanemux.rehearsal.books import CallerBooks
-from lanemux.rehearsal.process_monitor import PROCESSES_A_TURN, ProcessMonitor
+from lanemux.rehearsal.process_monitor import PROCESSES_PER_TURN, ProcessMonitor
+from lanemux.rehearsal.records import CallerRecords
 
-MANY = 12 * PROCESSES_A_TURN
+MANY = 12 * PROCESSES_PER_TURN
 
 
 def test_a_look_at_many_processes_leaves_the_loop_its_turns() -> None:
@@ -22,21 +22,21 @@
                 await asyncio.sleep(0)
 
         task = asyncio.create_task(other())
-        await ProcessMonitor(CallerBooks()).look([], [os.getpid()] * MANY, counts=True)
+        await ProcessMonitor(CallerRecords()).sample([], [os.getpid()] * MANY, record_waits=True)
         task.cancel()
         return turns
 
-    assert asyncio.run(test()) >= MANY // PROCESSES_A_TURN
+    assert asyncio.run(test()) >= MANY // PROCESSES_PER_TURN
 
 
 def test_a_balancer_that_computes_shows_and_one_that_is_gone_does_not() -> None:
-    async def test() -> CallerBooks:
-        books = CallerBooks()
+    async def test() -> CallerRecords:
+        books = CallerRecords()
         monitor = ProcessMonitor(books)
         for _ in range(2):
-            await monitor.look([], [os.getpid(), 0], counts=True)
+            await monitor.sample([], [os.getpid(), 0], record_waits=True)
             sum(range(2_000_000))
-        await monitor.look([], [os.getpid(), 0], counts=True)
+        await monitor.sample([], [os.getpid(), 0], record_waits=True)
         return books
 
     books = asyncio.run(test())
--- a/tests/rehearsal/test_pure.py
+++ b/tests/rehearsal/test_pure.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 
 from lanemux.rehearsal import framing
-from lanemux.rehearsal.books import Attempt, BoxBooks, CallerBooks, Try
 from lanemux.rehearsal.box import BoxModel
-from lanemux.rehearsal.command import _known, find
-from lanemux.rehearsal.plan import MS, SECOND, Box, draw
+from lanemux.rehearsal.command import _scenario_titles, find_scenario
+from lanemux.rehearsal.plan import MS, SECOND, Box, draw_plan
+from lanemux.rehearsal.records import Attempt, BoxRecords, CallerRecords, Try
 from lanemux.rehearsal.scenario import Fleet, Scenario, read_scenario
-from lanemux.rehearsal.service import figures, missed, results
-from lanemux.rehearsal.validity import judge
+from lanemux.rehearsal.service import ask_results, compute_figures, missed_expectations
+from lanemux.rehearsal.validity import assess_validity
 from lanemux.validation import ValidationError
 
 BOX = Box("q-1", "woodbrook", 0, "box-a", 0, 1.0, 2, 0.0, 100.0, 0.31, 8 * SECOND, 10**18, 0.0, 2 * MS, 0, 0, 1)
@@ -114,21 +114,21 @@
 # ---- the plan ------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", sorted(_known("")))
+@pytest.mark.parametrize("name", sorted(_scenario_titles("")))
 def test_every_scenario_of_the_kit_is_sound_and_its_plan_the_same_in_any_process(name: str) -> None:
-    scenario = find(name)
+    scenario = find_scenario(name)
     if not name.endswith("-short"):
         scenario = dataclasses.replace(scenario, seconds=min(scenario.seconds, 12.0))
-    plan = draw(scenario, 7)
+    plan = draw_plan(scenario, 7)
     assert len(plan.asks) > 50 and all(a.at_ns <= b.at_ns for a, b in zip(plan.asks, plan.asks[1:], strict=False))
     assert len({i for a in plan.asks for i in a.ids}) == sum(len(a.ids) for a in plan.asks)
-    assert plan.digest() != draw(scenario, 8).digest()
+    assert plan.digest() != draw_plan(scenario, 8).digest()
     told = {n.box for n in plan.notices if n.health == "up"}
     assert told == {h.who for h in plan.happenings if h.what in ("start", "return")}
     if name == "month-end-short":
         look = (
-            "from lanemux.rehearsal.command import find\nfrom lanemux.rehearsal.plan import draw\n"
-            f"print(draw(find({name!r}), 7).digest())"
+            "from lanemux.rehearsal.command import find_scenario\nfrom lanemux.rehearsal.plan import draw_plan\n"
+            f"print(draw_plan(find_scenario({name!r}), 7).digest())"
         )
         other = subprocess.run(
             [sys.executable, "-c", look], capture_output=True, text=True, check=True, env={"PYTHONHASHSEED": "12345"}
@@ -137,14 +137,14 @@
 
 
 def test_friday_freezes_the_stated_part_for_the_stated_times() -> None:
-    plan = draw(find("friday-rush"), 3)
+    plan = draw_plan(find_scenario("friday-rush"), 3)
     freezes = [h for h in plan.happenings if h.what == "freeze"]
     assert 0.35 * 40 - 1 <= len({h.who for h in freezes}) <= 0.41 * 40 + 1
     assert all(66 * MS <= h.until_ns - h.at_ns <= 240 * MS for h in freezes)
 
 
 def test_month_end_replaces_almost_all_boxes_and_kills_a_quarter_together() -> None:
-    plan = draw(find("month-end"), 3)
+    plan = draw_plan(find_scenario("month-end"), 3)
     drained = {h.who for h in plan.happenings if h.what == "drain"}
     assert len(drained) == 12 and len(plan.boxes) == 24
     died = [h for h in plan.happenings if h.what == "die" and h.who not in drained]
@@ -178,10 +178,10 @@
 # ---- figures -------------------------------------------------------------------------------------------
 
 
-def played(*ends: tuple[int, int, int, float]) -> tuple[Scenario, CallerBooks]:
+def played(*ends: tuple[int, int, int, float]) -> tuple[Scenario, CallerRecords]:
     """Books of tries (ask, number, status, ms after the ask was due) of a plan with seed 1."""
-    scenario = dataclasses.replace(find("calm-short"), seconds=2.0, warm_up_s=0.0)
-    plan, books = draw(scenario, 1), CallerBooks()
+    scenario = dataclasses.replace(find_scenario("calm-short"), seconds=2.0, warm_up_s=0.0)
+    plan, books = draw_plan(scenario, 1), CallerRecords()
     for ask, number, status, after_ms in ends:
         row = plan.asks[ask]
         books.tries.append(
@@ -204,9 +204,9 @@
 def test_a_retry_is_counted_with_its_first_try_whichever_balancer_answers() -> None:
     # Refused by balancer 0, served by balancer 1 within the aim of the first try: one ask, one worth.
     scenario, books = played((0, 0, 503, 20), (0, 1, 200, 250), (1, 0, 503, 20), (1, 1, 200, 270))
-    rows = {r.ask.number: r for r in results(draw(scenario, 1), books.tries)}
+    rows = {r.ask.number: r for r in ask_results(draw_plan(scenario, 1), books.tries)}
     assert rows[0].in_time and not rows[1].in_time  # 270 ms: within the aim of the retry, not of the ask
-    found = figures(draw(scenario, 1), BoxBooks(), books)
+    found = compute_figures(draw_plan(scenario, 1), BoxRecords(), books)
     assert (found.asked, found.answered_in_time, found.tries) == (len(rows), 1, 4)
     assert found.service == pytest.approx(rows[0].worth / sum(r.worth for r in rows.values()))
 
@@ -217,35 +217,35 @@
     for entry in books.tries:
         entry.deadline_ns = entry.sent_ns + 200 * MS
     late = books.tries[0]
-    boxes = BoxBooks(
+    boxes = BoxRecords(
         attempts=[Attempt(0, 0, late.id, "/", late.sent_ns, late.sent_ns, late.end_ns, late.end_ns, "cancelled")]
     )
-    plan = draw(scenario, 1)
-    found = figures(plan, boxes, books)
+    plan = draw_plan(scenario, 1)
+    found = compute_figures(plan, boxes, books)
     assert found.refusal_p90_share == 1.0 and found.refusal_held_share < 0.01
     boxes.attempts[0].open_ns = late.sent_ns + 20 * MS  # it had ended long before
-    assert figures(plan, boxes, books).refusal_held_share == pytest.approx(0.9)
+    assert compute_figures(plan, boxes, books).refusal_held_share == pytest.approx(0.9)
 
 
 def test_a_last_try_of_a_few_milliseconds_is_not_held_for_longer_than_its_time() -> None:
     scenario, books = played((0, 0, 503, 4.3), (1, 0, 503, 1))
     books.tries[0].deadline_ns = books.tries[0].sent_ns + 3 * MS
-    found = figures(draw(scenario, 1), BoxBooks(), books)
+    found = compute_figures(draw_plan(scenario, 1), BoxRecords(), books)
     assert found.refusal_held_share < 0.01
-    said = missed(draw(scenario, 1), dataclasses.replace(found, refusal_held_share=1.4))
+    said = missed_expectations(draw_plan(scenario, 1), dataclasses.replace(found, refusal_held_share=1.4))
     assert not any("held" in line for line in said)  # the scenario says nothing of it
 
 
 def test_two_answers_to_one_ask_count_once() -> None:
     scenario, books = played((0, 0, 200, 240), (0, 1, 200, 250))
-    assert figures(draw(scenario, 1), BoxBooks(), books).answered_in_time == 1
+    assert compute_figures(draw_plan(scenario, 1), BoxRecords(), books).answered_in_time == 1
 
 
 def test_a_late_kit_calls_its_run_not_valid() -> None:
-    assert judge(BoxBooks(lag_ns=[MS] * 100), CallerBooks(late_ns=[MS] * 100)).valid
-    assert not judge(BoxBooks(lag_ns=[MS] * 100), CallerBooks(late_ns=[MS] * 90 + [20 * MS] * 10)).valid
-    assert not judge(BoxBooks(lag_ns=[MS] * 100 + [60 * MS]), CallerBooks()).valid
-    assert not judge(BoxBooks(), CallerBooks(waited_share=0.5)).valid
+    assert assess_validity(BoxRecords(lag_ns=[MS] * 100), CallerRecords(late_ns=[MS] * 100)).valid
+    assert not assess_validity(BoxRecords(lag_ns=[MS] * 100), CallerRecords(late_ns=[MS] * 90 + [20 * MS] * 10)).valid
+    assert not assess_validity(BoxRecords(lag_ns=[MS] * 100 + [60 * MS]), CallerRecords()).valid
+    assert not assess_validity(BoxRecords(), CallerRecords(waited_share=0.5)).valid
 
 
 # ---- framing -------------------------------------------------------------------------------------------
--- a/tests/rehearsal/test_report.py
+++ b/tests/rehearsal/test_report.py
@@ -13,37 +13,37 @@
 from rich.console import Console
 
 from lanemux.rehearsal import command
-from lanemux.rehearsal.books import Attempt, BoxBooks, CallerBooks, Life, Oddity
 from lanemux.rehearsal.callers import Callers
-from lanemux.rehearsal.command import BAD_USE, find, main
+from lanemux.rehearsal.command import BAD_USE, find_scenario, main
 from lanemux.rehearsal.page import as_html
-from lanemux.rehearsal.plan import SECOND, draw
-from lanemux.rehearsal.report import rows
-from lanemux.rehearsal.rules import check
+from lanemux.rehearsal.plan import SECOND, draw_plan
+from lanemux.rehearsal.records import Anomaly, Attempt, BoxRecords, CallerRecords, StateSpan
+from lanemux.rehearsal.report import summary_rows
+from lanemux.rehearsal.rules import find_violations
 from lanemux.rehearsal.run import Run
 from lanemux.rehearsal.scenario import read_scenario
-from lanemux.rehearsal.service import figures
-from lanemux.rehearsal.terminal import Bar, show
-from lanemux.rehearsal.validity import judge
+from lanemux.rehearsal.service import compute_figures
+from lanemux.rehearsal.terminal import ProgressBar, print_summary
+from lanemux.rehearsal.validity import assess_validity
 
 
 def broken_run() -> Run:
-    plan = draw(find("month-end-short"), 1)
-    boxes = BoxBooks(
+    plan = draw_plan(find_scenario("month-end-short"), 1)
+    boxes = BoxRecords(
         attempts=[Attempt(0, 0, plan.asks[0].ids[0], "/", SECOND, SECOND, 2 * SECOND)],
-        lives=[Life(0, "frozen", SECOND, 2 * SECOND), Life(1, "fallen", SECOND)],
-        oddities=[Oddity(SECOND, "cold", "pushed <over>", box=1)],
+        state_spans=[StateSpan(0, "frozen", SECOND, 2 * SECOND), StateSpan(1, "fallen", SECOND)],
+        anomalies=[Anomaly(SECOND, "cold", "pushed <over>", box=1)],
         held=[(SECOND, 0, 3)],
     )
-    callers = CallerBooks()
+    callers = CallerRecords()
     return Run(
         plan,
         plan.digest(),
         boxes,
         callers,
-        figures(plan, boxes, callers),
-        check(plan, boxes, callers),
-        judge(boxes, callers),
+        compute_figures(plan, boxes, callers),
+        find_violations(plan, boxes, callers),
+        assess_validity(boxes, callers),
     )
 
 
@@ -77,22 +77,22 @@
 def test_the_terminal_shows_the_same_table_and_marks_what_is_wrong() -> None:
     console = Console(record=True, width=200, force_terminal=True, file=io.StringIO())
     run = broken_run()
-    show(run, "month-end-short", console)
+    print_summary(run, "month-end-short", console)
     shown = console.export_text(clear=False)
-    for label, text in rows(run):
+    for label, text in summary_rows(run):
         assert label in shown and " ".join(text.split()[:4]) in " ".join(shown.split())
     assert "pushed <over>" in shown and 'class="r' in console.export_html(inline_styles=False)
     run.violations.clear()
-    show(run, "x", console)
+    print_summary(run, "x", console)
     assert "pushed" not in console.export_text()
 
 
 def test_a_terminal_is_told_how_far_a_run_is() -> None:
     console = Console(width=100, force_terminal=True, file=io.StringIO())
     plan = broken_run().plan
-    callers = cast(Callers, SimpleNamespace(plan=plan, asked=12, books=CallerBooks()))
-    with Bar(console) as bar:
-        bar.tell(4.0, callers)
+    callers = cast(Callers, SimpleNamespace(plan=plan, asked=12, books=CallerRecords()))
+    with ProgressBar(console) as bar:
+        bar.update(4.0, callers)
     assert "4 of 10 s" in (told := cast(io.StringIO, console.file).getvalue()) and "12 asks, 0 tries" in told
 
 
@@ -110,7 +110,7 @@
 ) -> None:
     (tmp_path / "ours.toml").write_text('title = "our own Friday"\nseconds = 5\n')
     (tmp_path / "operators.toml").write_text(f'[rehearsal]\nscenarios_directory = "{tmp_path}"\n')
-    assert find("ours", str(tmp_path)).seconds == 5
+    assert find_scenario("ours", str(tmp_path)).seconds == 5
     assert main(["--list", "--operators", str(tmp_path / "operators.toml")]) == 0
     listed = capsys.readouterr().out
     assert "our own Friday" in listed and "friday-rush" in listed
@@ -121,6 +121,6 @@
     page = (Path(__file__).parent.parent.parent / "docs" / "operating" / "rehearsal.md").read_text()
     block = page[page.index('    title = "our own Friday"') : page.index("All keys with units")]
     scenario = read_scenario("\n".join(line[4:] for line in block.splitlines()), "page")
-    assert scenario.fleet.boxes == 24 and scenario.faults[0].kind == "freeze" and draw(scenario, 1).happenings
-    for name in command._known(""):
+    assert scenario.fleet.boxes == 24 and scenario.faults[0].kind == "freeze" and draw_plan(scenario, 1).happenings
+    for name in command._scenario_titles(""):
         assert f"`{name}`" in page or f"`{name.removesuffix('-short')}`" in page
--- a/tests/rehearsal/test_rules.py
+++ b/tests/rehearsal/test_rules.py
@@ -5,12 +5,12 @@
 import dataclasses
 from dataclasses import replace
 
-from lanemux.rehearsal.books import Attempt, BoxBooks, CallerBooks, Life, Oddity, Told, Try
-from lanemux.rehearsal.command import find
-from lanemux.rehearsal.plan import MS, draw
-from lanemux.rehearsal.rules import Violation, check, counts
+from lanemux.rehearsal.command import find_scenario
+from lanemux.rehearsal.plan import MS, draw_plan
+from lanemux.rehearsal.records import Anomaly, Attempt, BoxRecords, CallerRecords, StateSpan, Told, Try
+from lanemux.rehearsal.rules import Violation, find_violations, violation_counts
 
-PLAN = draw(find("calm-short"), 1)
+PLAN = draw_plan(find_scenario("calm-short"), 1)
 T = 1000 * MS
 
 
@@ -35,13 +35,13 @@
     attempts: list[Attempt],
     tries: list[Try],
     told: list[Told] | None = None,
-    down: list[Life] | None = None,
-    oddities: list[Oddity] | None = None,
+    down: list[StateSpan] | None = None,
+    anomalies: list[Anomaly] | None = None,
 ) -> list[Violation]:
-    return check(
+    return find_violations(
         PLAN,
-        BoxBooks(attempts=attempts),
-        CallerBooks(tries=tries, told=told or [], balancers_down=down or [], oddities=oddities or []),
+        BoxRecords(attempts=attempts),
+        CallerRecords(tries=tries, told=told or [], balancers_down=down or [], anomalies=anomalies or []),
     )
 
 
@@ -69,9 +69,9 @@
     assert found([], [served(how="left", status=0), served(how="refused", status=0)]) == []
     unsent = dataclasses.replace(served(how="lost", status=0), sent_ns=0)
     assert found([], [unsent]) == []
-    killed = [Life(0, "down", T + 50 * MS, T + 400 * MS)]
+    killed = [StateSpan(0, "down", T + 50 * MS, T + 400 * MS)]
     assert found([], [served(how="lost", status=0)], down=killed) == []
-    assert len(found([], [served(how="lost", status=0)], down=[Life(1, "down", T, T + 400 * MS)])) == 1
+    assert len(found([], [served(how="lost", status=0)], down=[StateSpan(1, "down", T, T + 400 * MS)])) == 1
 
 
 def test_two_attempts_at_once_are_proved_by_the_first_still_open_when_the_second_is_whole() -> None:
@@ -91,7 +91,7 @@
 
 def test_a_send_after_a_drain_was_told_breaks_the_rule_from_its_grace_on() -> None:
     def sends(
-        after_ms: int, balancer: int = 0, told: list[Told] | None = None, down: list[Life] | None = None
+        after_ms: int, balancer: int = 0, told: list[Told] | None = None, down: list[StateSpan] | None = None
     ) -> list[str]:
         at = T + after_ms * MS
         rows = [attempt(3, at, at + 50 * MS, balancer=balancer)]
@@ -103,7 +103,7 @@
     assert sends(560, told=[*TOLD, up]) == []
     unread = [Told(0, 3, "removed", 0, T)]  # the agent had it 6 s ago, and the balancer never asked
     assert sends(560, told=unread) == ["drain"]
-    started_anew = [Life(0, "down", T + 10 * MS, T + 200 * MS)]
+    started_anew = [StateSpan(0, "down", T + 10 * MS, T + 200 * MS)]
     assert sends(560, down=started_anew) == []
 
 
@@ -121,14 +121,14 @@
 
 
 def test_what_the_stand_ins_saw_counts_and_is_told_with_its_box() -> None:
-    broken = found([], [], oddities=[Oddity(T, "cold", "pushed over", box=2), Oddity(T, "foreign", "x", "id")])
-    assert counts(broken) == {"lost": 0, "twice": 0, "drain": 0, "cold": 1, "foreign": 1, "deadline": 0}
+    broken = found([], [], anomalies=[Anomaly(T, "cold", "pushed over", box=2), Anomaly(T, "foreign", "x", "id")])
+    assert violation_counts(broken) == {"lost": 0, "twice": 0, "drain": 0, "cold": 1, "foreign": 1, "deadline": 0}
     assert broken[0].box == PLAN.boxes[2].host
 
 
 # ---- classes that are not safe to repeat ---------------------------------------------------------------
 
-PAYMENTS = draw(find("payments-short"), 1)
+PAYMENTS = draw_plan(find_scenario("payments-short"), 1)
 
 
 def repeated(effect: str, hows: list[tuple[int, int, str]], status: int = 200) -> list[str]:
@@ -153,7 +153,7 @@
     entry = Try(
         ask.number, 0, name, 0, "/", T, T + 9000 * MS, T + 8000 * MS, "answered", status, "d" if status == 200 else ""
     )
-    return [v.rule for v in check(PAYMENTS, BoxBooks(attempts=rows), CallerBooks(tries=[entry]))]
+    return [v.rule for v in find_violations(PAYMENTS, BoxRecords(attempts=rows), CallerRecords(tries=[entry]))]
 
 
 def test_an_unsafe_request_may_be_sent_again_only_after_it_was_turned_away_unseen() -> None:
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -12,9 +12,8 @@
 
 import pytest
 
-from lanemux.rehearsal.injection_plan import BadPlan, Plan, Window, read_plan
-from lanemux.rehearsal.plan import draw as draw_plan
-from lanemux.rehearsal.plan import earliest_kill_ns
+from lanemux.rehearsal.injection_plan import InjectionPlan, InvalidPlan, Window, read_plan
+from lanemux.rehearsal.plan import draw_plan, earliest_kill_ns
 from lanemux.rehearsal.soak.command import BROKEN, KEPT, NOT_VALID, read_seeds
 from lanemux.rehearsal.soak.draw import draw
 
@@ -40,7 +39,7 @@
 
 def test_a_seed_draws_the_same_run_each_time() -> None:
     assert draw(7) == draw(7) and draw(7) != draw(8)
-    assert read_plan(draw(7).injection.text()) == draw(7).injection
+    assert read_plan(draw(7).injection.to_json()) == draw(7).injection
 
 
 def test_every_seed_restarts_a_balancer_and_kills_it_at_the_earliest_moment() -> None:
@@ -55,13 +54,13 @@
 
 @pytest.mark.parametrize("text", ["", "[]", "{", '{"speed": 1}', '{"windows": [{"call": "socket"}]}', '{"windows": 3}'])
 def test_a_plan_that_is_none_is_refused(text: str) -> None:
-    with pytest.raises(BadPlan):
+    with pytest.raises(InvalidPlan):
         read_plan(text)
 
 
 def test_a_plan_reads_back_as_it_was_written() -> None:
-    plan = Plan(seed=3, windows=[Window("bind", "EADDRINUSE", 1.0, 0.5)], short_share=0.5)
-    assert read_plan(plan.text()) == plan
+    plan = InjectionPlan(seed=3, windows=[Window("bind", "EADDRINUSE", 1.0, 0.5)], short_share=0.5)
+    assert read_plan(plan.to_json()) == plan
 
 
 @pytest.mark.parametrize(("text", "seeds"), [("3", [3]), ("3-5", [3, 4, 5])])
--- a/tests/virtual/test_judge.py
+++ b/tests/virtual/test_judge.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from lanemux.rehearsal.books import Attempt, BoxBooks, CallerBooks, Life, Oddity, Told, Try
-from lanemux.rehearsal.plan import MS, SECOND, draw
+from lanemux.rehearsal.plan import MS, SECOND, draw_plan
+from lanemux.rehearsal.records import Anomaly, Attempt, BoxRecords, CallerRecords, StateSpan, Told, Try
 from lanemux.virtual.judge import Excuses, Judge
 from lanemux.virtual.script import setting
 
 GRACE = 500 * MS
 
 
-def judge(excuses: Excuses | None = None) -> tuple[Judge, BoxBooks, CallerBooks]:
-    boxes, callers = BoxBooks(), CallerBooks()
-    return Judge(draw(setting(1).scenario, 1), boxes, callers, excuses or Excuses()), boxes, callers
+def judge(excuses: Excuses | None = None) -> tuple[Judge, BoxRecords, CallerRecords]:
+    boxes, callers = BoxRecords(), CallerRecords()
+    return Judge(draw_plan(setting(1).scenario, 1), boxes, callers, excuses or Excuses()), boxes, callers
 
 
 def attempt(at_ns: int, name: str = "r", box: int = 0, open_ns: int = 0, how: str = "answered") -> Attempt:
@@ -113,7 +113,7 @@
     silent.unheard[0].append((0, 5 * SECOND))
     made, boxes, callers = judge(silent)
     callers.told += [Told(0, 0, "removed", SECOND, 7 * SECOND), Told(0, 0, "up", 0, 20 * SECOND)]
-    callers.balancers_down.append(Life(0, "down", 2 * SECOND, 3 * SECOND))
+    callers.balancers_down.append(StateSpan(0, "down", 2 * SECOND, 3 * SECOND))
     boxes.attempts.append(attempt(6 * SECOND))
     assert rules(made) == []
 
@@ -129,7 +129,7 @@
 
 def test_oddities_and_requests_without_an_end_are_told() -> None:
     made, boxes, callers = judge()
-    boxes.oddities.append(Oddity(SECOND, "cold", "pushed over", box=0))
+    boxes.anomalies.append(Anomaly(SECOND, "cold", "pushed over", box=0))
     callers.tries.append(Try(0, 0, "r", 0, "/rate-lookup/0", SECOND))
     assert rules(made) == ["cold"]
     made.finish()
--- a/tests/virtual/test_storms.py
+++ b/tests/virtual/test_storms.py
@@ -10,7 +10,7 @@
 from lanemux.net.decisions import Module
 from lanemux.policy import Balancer
 from lanemux.rehearsal import scenario
-from lanemux.rehearsal.books import Try
+from lanemux.rehearsal.records import Try
 from lanemux.virtual.command import run_seeds
 from lanemux.virtual.judge import HERD, herded
 from lanemux.virtual.script import Fault, Script, draw, setting
