--- a/lanemux/rehearsal/addresses.py
+++ b/lanemux/rehearsal/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses that were free, and sockets bound to them."""
+"""Finds free loopback addresses and binds sockets to them."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 Address = tuple[str, int]
 
 
-def bound_socket(address: Address, make: Callable[[], socket.socket] = socket.socket) -> socket.socket:
-    """A socket bound there; port 0 takes a free one."""
-    made = make()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.setblocking(False)
-    made.bind(address)
-    return made
+def bound_socket(address: Address, make_socket: Callable[[], socket.socket] = socket.socket) -> socket.socket:
+    """A non-blocking socket bound to the address; port 0 selects a free port."""
+    sock = make_socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.setblocking(False)
+    sock.bind(address)
+    return sock
 
 
 def reserve_addresses(
-    plan: Plan, prefix: str, make: Callable[[], socket.socket] = socket.socket
+    plan: Plan, prefix: str, make_socket: Callable[[], socket.socket] = socket.socket
 ) -> list[list[Address]]:
-    """Addresses for each slot, one for each balancer: `prefix`.balancer.slot, at ports that were free."""
+    """Addresses for each slot, one per balancer: `prefix`.balancer.slot, at ports that were free."""
     addresses = []
     for slot in range(max(box.slot for box in plan.boxes) + 1):
         row: list[Address] = []
         for balancer in range(plan.scenario.fleet.balancers):
-            taken = bound_socket((f"{prefix}.{balancer}.{slot + 1}", 0), make)
-            row.append(taken.getsockname())
-            taken.close()
+            sock = bound_socket((f"{prefix}.{balancer}.{slot + 1}", 0), make_socket)
+            row.append(sock.getsockname())
+            sock.close()
         addresses.append(row)
     return addresses
--- a/lanemux/rehearsal/command.py
+++ b/lanemux/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""`python -m lanemux rehearse`: options, scenarios by name or file, reports, exit status."""
+"""The `python -m lanemux rehearse` command: options, scenario lookup, reports and exit status."""
 
 from __future__ import annotations
 
@@ -17,63 +17,64 @@
 from lanemux.operators import load, read_text
 from lanemux.rehearsal import report
 from lanemux.rehearsal.callers import Callers
-from lanemux.rehearsal.run import CannotRun, Progress, Run, rehearse
+from lanemux.rehearsal.run import CannotRun, ProgressCallback, Run, rehearse
 from lanemux.rehearsal.scenario import MAX_BALANCERS, MAX_BOXES, Scenario, read_scenario, validated
 from lanemux.validation import ValidationError, installed
 
-KEPT, BROKEN, BAD_USE, NOT_VALID = 0, 1, 2, 3
-SIGNAL_STATUS_BASE = 128  # and the signal's number, as shells tell it
-DEFAULT = "calm-short"
-HONOUR = {"none": 0.0, "partly": 0.5, "wholly": 1.0}  # share of callers that come back no sooner than they are told
+PASSED, FAILED, USAGE_ERROR, INVALID = 0, 1, 2, 3
+SIGNAL_STATUS_BASE = 128  # plus the signal number, as shells report it
+DEFAULT_SCENARIO = "calm-short"
+HONOUR_SHARES = {"none": 0.0, "partly": 0.5, "wholly": 1.0}  # share of callers that obey Retry-After
 
 
 def main(argv: Sequence[str]) -> int:
-    """Play one scenario. 0: rules kept and valid; 1: a rule broken; 2: bad use; 3: not valid; ended by a signal: 128
-    and its number."""
-    options = _options(argv)
+    """Run one scenario and return the exit status.
+
+    0: valid and passed; 1: failed; 2: usage error; 3: not valid; 128 plus the signal number if a signal ended it."""
+    options = _parse_options(argv)
     try:
         operators = load(options.operators)
         if options.list:
             for name, title in sorted(_scenario_titles(operators.rehearsal.scenarios_directory).items()):
                 print(f"{name:<24}{title}")
-            return KEPT
+            return PASSED
         name = options.scenario
-        scenario = _overridden(find_scenario(name, operators.rehearsal.scenarios_directory), options)
+        scenario = _with_overrides(find_scenario(name, operators.rehearsal.scenarios_directory), options)
     except ValidationError as error:
         for fault in error.faults:
             print(f"lanemux: {fault}", file=sys.stderr)
-        return BAD_USE
+        return USAGE_ERROR
     if options.html and not installed("plotly"):
         print("lanemux: --html needs the extra `rehearsal`: pip install '.[rehearsal]'", file=sys.stderr)
-        return BAD_USE
+        return USAGE_ERROR
     if scenario.discovery.source == "etcd" and not installed("grpclib"):
         print("lanemux: this scenario needs the extra `etcd`: pip install '.[etcd]'", file=sys.stderr)
-        return BAD_USE
+        return USAGE_ERROR
     command = shlex.split(options.program) if options.program else [sys.executable, "-m", "lanemux"]
     try:
-        run = _run(scenario, options.seed, command)
+        run = _run_scenario(scenario, options.seed, command)
     except (CannotRun, OSError) as error:
         print(f"lanemux: {error}", file=sys.stderr)
-        return BAD_USE
+        return USAGE_ERROR
     except EndedBySignal as error:
         print(f"lanemux: ended by {error.by.name} before the run was over", file=sys.stderr)
         return SIGNAL_STATUS_BASE + error.by
-    _show(run, name)
+    _print_results(run, name)
     if options.json:
         Path(options.json).write_text(json.dumps(report.as_json(run, name), indent=1) + "\n")
     if options.html:
         from lanemux.rehearsal.page import as_html
 
         Path(options.html).write_text(as_html(run, name), encoding="utf-8")
-    return status(run)
+    return exit_status(run)
 
 
-def _run(scenario: Scenario, seed: int, command: Sequence[str]) -> Run:
-    """Play it; a terminal is shown how far it is."""
+def _run_scenario(scenario: Scenario, seed: int, command: Sequence[str]) -> Run:
+    """Run the scenario; show progress if stderr is a terminal."""
     if not sys.stderr.isatty():
         return asyncio.run(rehearse_until_signal(scenario, seed, command, None))
     if not installed("rich"):
-        run = asyncio.run(rehearse_until_signal(scenario, seed, command, _progress))
+        run = asyncio.run(rehearse_until_signal(scenario, seed, command, _print_progress))
         print(file=sys.stderr)
         return run
     from rich.console import Console
@@ -84,8 +85,8 @@
         return asyncio.run(rehearse_until_signal(scenario, seed, command, bar.update))
 
 
-def _show(run: Run, name: str) -> None:
-    """The table: plain lines for scripts and where rich is not installed."""
+def _print_results(run: Run, name: str) -> None:
+    """Print the results table: plain lines for scripts and where rich is not installed."""
     if not (sys.stdout.isatty() and installed("rich")):
         print(report.as_text(run, name))
         return
@@ -97,61 +98,61 @@
 
 
 class EndedBySignal(Exception):
-    """A signal ended the rehearsal."""
+    """The rehearsal was ended by a signal."""
 
-    def __init__(self, by: signal.Signals) -> None:
-        self.by = by
+    def __init__(self, number: signal.Signals) -> None:
+        self.by = number
 
 
 async def rehearse_until_signal(
     scenario: Scenario,
     seed: int,
     command: Sequence[str],
-    progress: Progress | None = None,
+    progress: ProgressCallback | None = None,
     folder: Path | None = None,
 ) -> Run:
-    """The rehearsal; a signal calls it off, so that it leaves no balancer and no box behind."""
+    """Run the rehearsal; SIGINT and SIGTERM cancel it, so that no balancer or box process is left behind."""
     loop = asyncio.get_running_loop()
     task = asyncio.create_task(rehearse(scenario, seed, command, progress, folder))
-    ended: list[signal.Signals] = []
+    received: list[signal.Signals] = []
 
-    def end(by: signal.Signals) -> None:
-        if not ended:  # a second one must not interrupt the clearing away
-            ended.append(by)
+    def on_signal(number: signal.Signals) -> None:
+        if not received:  # a second signal must not interrupt the cleanup
+            received.append(number)
             task.cancel()
 
-    for by in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(by, end, by)
+    for number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(number, on_signal, number)
     try:
         return await task
     except asyncio.CancelledError:
-        if ended:
-            raise EndedBySignal(ended[0]) from None
+        if received:
+            raise EndedBySignal(received[0]) from None
         raise
 
 
-def status(run: Run) -> int:
-    """The exit status that a run comes to. A run that is not valid accuses nobody."""
+def exit_status(run: Run) -> int:
+    """The exit status of a run. A run that is not valid does not count as a failure of the balancers."""
     if not run.validity.valid:
-        return NOT_VALID
-    return KEPT if run.passed else BROKEN
+        return INVALID
+    return PASSED if run.passed else FAILED
 
 
 def find_scenario(name: str, directory: str = "") -> Scenario:
-    """A scenario by the path of its file, or by its name among the operators' own and the kit's."""
+    """Find a scenario by the path of a TOML file, or by name: first in `directory`, then among the bundled ones."""
     if name.endswith(".toml"):
         return read_scenario(read_text(Path(name)), name)
-    own = Path(directory) / f"{name}.toml" if directory else None
-    if own is not None and own.is_file() and "/" not in name:
-        return read_scenario(read_text(own), str(own))
-    ours = resources.files("lanemux.rehearsal") / "scenarios" / f"{name}.toml"
-    if "/" in name or not ours.is_file():
+    own_file = Path(directory) / f"{name}.toml" if directory else None
+    if own_file is not None and own_file.is_file() and "/" not in name:
+        return read_scenario(read_text(own_file), str(own_file))
+    bundled = resources.files("lanemux.rehearsal") / "scenarios" / f"{name}.toml"
+    if "/" in name or not bundled.is_file():
         raise ValidationError([f"no scenario {name!r}; there are {', '.join(sorted(_scenario_titles(directory)))}"])
-    return read_scenario(ours.read_text(), name)
+    return read_scenario(bundled.read_text(), name)
 
 
 def _scenario_titles(directory: str) -> dict[str, str]:
-    """The titles of all scenarios that have a name."""
+    """The titles of all named scenarios, by name."""
     titles = {}
     for entry in (resources.files("lanemux.rehearsal") / "scenarios").iterdir():
         if entry.name.endswith(".toml"):
@@ -159,35 +160,37 @@
     for path in Path(directory).glob("*.toml") if directory else ():
         try:
             titles[path.stem] = read_scenario(read_text(path), str(path)).title
-        except ValidationError as error:  # one bad file must not hide the others
+        except ValidationError as error:  # one invalid file must not hide the others
             titles[path.stem] = f"(can't be used: {error.faults[0]})"
     return titles
 
 
-def _options(argv: Sequence[str]) -> argparse.Namespace:
+def _parse_options(argv: Sequence[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         "lanemux rehearse",
         allow_abbrev=False,
-        description=("Play a day of service against balancers started on this machine's loopback, and judge it."),
+        description=(
+            "Run a scenario's traffic against balancers started on this machine's loopback, and check the result."
+        ),
     )
-    parser.add_argument("scenario", nargs="?", default=DEFAULT, metavar="NAME|FILE.toml")
+    parser.add_argument("scenario", nargs="?", default=DEFAULT_SCENARIO, metavar="NAME|FILE.toml")
     parser.add_argument("--seed", type=int, default=1, metavar="N")
     parser.add_argument("--seconds", type=float, metavar="S", help="length of the run")
-    parser.add_argument("--rate", type=float, metavar="R", help="asks a second")
+    parser.add_argument("--rate", type=float, metavar="R", help="asks (logical client requests) per second")
     parser.add_argument("--balancers", type=int, metavar="N", help=f"at most {MAX_BALANCERS}")
     parser.add_argument("--boxes", type=int, metavar="N", help=f"at most {MAX_BOXES}")
-    parser.add_argument("--honour", choices=sorted(HONOUR), help="how callers heed Retry-After")
-    parser.add_argument("--balancers-operators", metavar="FILE", help="the operators' file of the balancers")
-    parser.add_argument("--program", metavar="CMD", help="what starts one balancer; default: this build")
+    parser.add_argument("--honour", choices=sorted(HONOUR_SHARES), help="which callers obey Retry-After")
+    parser.add_argument("--balancers-operators", metavar="FILE", help="operators' file passed to the balancers")
+    parser.add_argument("--program", metavar="CMD", help="command that starts one balancer; default: this build")
     parser.add_argument("--json", metavar="FILE")
     parser.add_argument("--html", metavar="FILE", help="a page with plots; needs the extra `rehearsal`")
-    parser.add_argument("--list", action="store_true", help="the scenarios that have a name")
+    parser.add_argument("--list", action="store_true", help="list the named scenarios")
     parser.add_argument("--operators", metavar="FILE", default=os.environ.get("LANEMUX_OPERATORS"))
     return parser.parse_args(argv)
 
 
-def _overridden(scenario: Scenario, options: argparse.Namespace) -> Scenario:
-    """The scenario with what the command line says otherwise, held to the same limits as the file."""
+def _with_overrides(scenario: Scenario, options: argparse.Namespace) -> Scenario:
+    """The scenario with the command line's values, checked against the same limits as the file's."""
     limits = [
         ("--seconds", options.seconds, 1, 3600),
         ("--rate", options.rate, 0.1, 5000),
@@ -206,28 +209,28 @@
         balancers=options.balancers or scenario.fleet.balancers,
         boxes=options.boxes or scenario.fleet.boxes,
     )
-    load_ = dataclasses.replace(scenario.load, rate=options.rate or scenario.load.rate)
+    load_section = dataclasses.replace(scenario.load, rate=options.rate or scenario.load.rate)
     callers = scenario.callers
     if options.honour:
-        callers = dataclasses.replace(callers, honour=HONOUR[options.honour])
-    given = options.balancers_operators
+        callers = dataclasses.replace(callers, honour=HONOUR_SHARES[options.honour])
+    operators_file = options.balancers_operators
     return validated(
         dataclasses.replace(
             scenario,
             fleet=fleet,
-            load=load_,
+            load=load_section,
             callers=callers,
             seconds=options.seconds or scenario.seconds,
-            operators=scenario.operators if given is None else read_text(Path(given)),
+            operators=scenario.operators if operators_file is None else read_text(Path(operators_file)),
         ),
         "command line",
     )
 
 
-def _progress(at_s: float, callers: Callers) -> None:
-    whole = callers.plan.scenario.seconds
+def _print_progress(at_s: float, callers: Callers) -> None:
+    total_s = callers.plan.scenario.seconds
     print(
-        f"\r{min(at_s, whole):5.0f} of {whole:.0f} s   {callers.asked} asks   {len(callers.books.tries)} tries ",
+        f"\r{min(at_s, total_s):5.0f} of {total_s:.0f} s   {callers.asked} asks   {len(callers.books.tries)} tries ",
         end="",
         file=sys.stderr,
         flush=True,
--- a/lanemux/rehearsal/process_monitor.py
+++ b/lanemux/rehearsal/process_monitor.py
@@ -1,4 +1,4 @@
-"""Looks at the processes of a rehearsal: who waits for a processor, and what the balancers hold."""
+"""Samples the processes of a rehearsal: time spent waiting for a CPU, and the balancers' resource usage."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from lanemux.rehearsal.balancers import spent_s, usage, waited_ns
 from lanemux.rehearsal.records import CallerRecords
 
-PROCESSES_PER_TURN = 4  # of the loop, whose callers must not wait for a look at hundreds
+PROCESSES_PER_TURN = 4  # sampled per loop iteration: sampling hundreds at once would delay the callers on this loop
 
 
 @dataclass(slots=True)
-class _Look:
-    """What a process had used of processors at the last look at it."""
+class _Sample:
+    """CPU counters of a process at the last sample."""
 
     at_ns: int
     waited_ns: int
@@ -23,30 +23,32 @@
 
 
 class ProcessMonitor:
-    """Notes the most of what each look finds in the callers' books."""
+    """Keeps the maximum of each sampled value in the callers' records."""
 
     def __init__(self, books: CallerRecords) -> None:
         self._books = books
-        self._last: dict[int, _Look] = {}
+        self._last: dict[int, _Sample] = {}
 
     async def sample(self, harness: Sequence[int], balancers: Sequence[int], record_waits: bool) -> None:
-        """Look at the processes with these numbers; `record_waits`: what the kit or a balancer waited is noted."""
+        """Sample the processes with these IDs: those of the harness and the balancers.
+
+        `record_waits`: whether the time they waited for a CPU is recorded."""
         for number, pid in enumerate((*harness, *balancers)):
-            self._look_at(pid, pid in balancers, record_waits)
+            self._sample_process(pid, pid in balancers, record_waits)
             if number % PROCESSES_PER_TURN == PROCESSES_PER_TURN - 1:
                 await asyncio.sleep(0)
 
-    def _look_at(self, pid: int, balancer: bool, record_waits: bool) -> None:
-        found = _Look(time.monotonic_ns(), waited_ns(pid), spent_s(pid))
-        before = self._last.get(pid)
-        self._last[pid] = found
-        if before is not None and found.at_ns > before.at_ns:
-            span_ns = found.at_ns - before.at_ns
+    def _sample_process(self, pid: int, balancer: bool, record_waits: bool) -> None:
+        current = _Sample(time.monotonic_ns(), waited_ns(pid), spent_s(pid))
+        previous = self._last.get(pid)
+        self._last[pid] = current
+        if previous is not None and current.at_ns > previous.at_ns:
+            span_ns = current.at_ns - previous.at_ns
             if record_waits:
-                waited_share = (found.waited_ns - before.waited_ns) / span_ns
+                waited_share = (current.waited_ns - previous.waited_ns) / span_ns
                 self._books.waited_share = max(self._books.waited_share, waited_share)
             if balancer:
-                spent_share = (found.spent_s - before.spent_s) * 1e9 / span_ns
+                spent_share = (current.spent_s - previous.spent_s) * 1e9 / span_ns
                 self._books.busiest_share = max(self._books.busiest_share, spent_share)
         if balancer:
             descriptors, memory_mb = usage(pid)
--- a/lanemux/rehearsal/report.py
+++ b/lanemux/rehearsal/report.py
@@ -1,16 +1,16 @@
-"""What a run comes to: the table that people read and the JSON that scripts read. No I/O."""
+"""Formats the results of a run: a table for people and JSON for scripts. No I/O."""
 
 from __future__ import annotations
 
 from lanemux.rehearsal.rules import violation_counts
 from lanemux.rehearsal.run import Run
 
-SHOWN = 5  # violations in the table; the JSON has more
-MAX_LISTED = 200  # violations in the JSON: a broken build has thousands, all alike
+MAX_SHOWN = 5  # violations in the table; the JSON has more
+MAX_LISTED = 200  # violations in the JSON: a broken build can produce thousands of similar ones
 
 
 def as_json(run: Run, name: str) -> dict[str, object]:
-    """The report as an object; the names in it are fixed."""
+    """The report as a JSON object; its keys are a stable interface."""
     return {
         "scenario": name,
         "title": run.plan.scenario.title,
@@ -31,32 +31,39 @@
 
 
 def summary_rows(run: Run) -> list[tuple[str, str]]:
-    """What people read at the end of a run: labels and what stands beside them."""
-    f, rules = run.figures, violation_counts(run.violations)
+    """The rows of the table printed at the end of a run: label and text."""
+    figures, rules = run.figures, violation_counts(run.violations)
     return [
-        ("service", f"{f.service:.3f}   worst 10 s {f.worst_10_s:.3f}   heaviest tenth {f.heavy:.3f}"),
-        ("by class", "   ".join(f"{c} {v:.3f}" for c, v in f.by_class.items())),
+        (
+            "service",
+            f"{figures.service:.3f}   worst 10 s {figures.worst_10_s:.3f}   heaviest tenth {figures.heavy:.3f}",
+        ),
+        ("by class", "   ".join(f"{c} {v:.3f}" for c, v in figures.by_class.items())),
         (
             "by partner",
-            f"worst {min(f.by_partner.values(), default=0.0):.3f} "
-            f"({min(f.by_partner, key=lambda p: f.by_partner[p], default='-')})",
+            f"worst {min(figures.by_partner.values(), default=0.0):.3f} "
+            f"({min(figures.by_partner, key=lambda p: figures.by_partner[p], default='-')})",
         ),
         (
             "frozen",
-            f"blindness {f.blindness:.2f} (1: as by chance)   connections {f.connections_most}   "
-            f"refusals at {f.refusal_p50_share:.2f} of their time, held for {f.refusal_held_share:.2f}",
+            f"blindness {figures.blindness:.2f} (1: as by chance)   connections {figures.connections_most}   "
+            f"refusals at {figures.refusal_p50_share:.2f} of their time, held for {figures.refusal_held_share:.2f}",
+        ),
+        (
+            "asks",
+            f"{figures.asked}   in time {figures.answered_in_time}   late {figures.answered_late}   "
+            f"tries {figures.tries}",
         ),
-        ("asks", f"{f.asked}   in time {f.answered_in_time}   late {f.answered_late}   tries {f.tries}"),
-        ("tries", f"refused {f.refused}   failed {f.failed}   no balancer {f.unreached}"),
+        ("tries", f"refused {figures.refused}   failed {figures.failed}   no balancer {figures.unreached}"),
         (
             "attempts",
-            f"{f.attempts_per_ask:.2f} an ask   turned away {f.declined}   given up {f.cancelled}   "
-            f"probes {f.probes_per_ask:.2f} an ask",
+            f"{figures.attempts_per_ask:.2f} an ask   turned away {figures.declined}   given up {figures.cancelled}   "
+            f"probes {figures.probes_per_ask:.2f} an ask",
         ),
         (
             "times, ms",
-            f"first attempt p50 {f.first_attempt_p50_ms:.1f} p99 {f.first_attempt_p99_ms:.1f}   "
-            f"answer p50 {f.answer_p50_ms:.0f} p99 {f.answer_p99_ms:.0f}",
+            f"first attempt p50 {figures.first_attempt_p50_ms:.1f} p99 {figures.first_attempt_p99_ms:.1f}   "
+            f"answer p50 {figures.answer_p50_ms:.0f} p99 {figures.answer_p99_ms:.0f}",
         ),
         ("rules", "   ".join(f"{rule} {n}" for rule, n in rules.items())),
         ("expected", "; ".join(run.missed_expectations) or "met"),
@@ -66,18 +73,18 @@
 
 
 def failure_lines(run: Run) -> list[str]:
-    """The first broken rules with their proofs, and the crashes."""
+    """The first violations with their proofs, and the crashes."""
     lines = [
         f"{v.rule} at {v.at_ns / 1e9:.3f} s, request {v.request or '-'}, box {v.box or '-'}: {v.proof}"
-        for v in run.violations[:SHOWN]
+        for v in run.violations[:MAX_SHOWN]
     ]
-    if len(run.violations) > SHOWN:
-        lines.append(f"and {len(run.violations) - SHOWN} more")
+    if len(run.violations) > MAX_SHOWN:
+        lines.append(f"and {len(run.violations) - MAX_SHOWN} more")
     return lines + run.crashes
 
 
 def as_text(run: Run, name: str) -> str:
-    """The table in plain lines."""
+    """The table as plain text."""
     return "\n".join(
         [
             f"{name}: {run.plan.scenario.title}",
--- a/lanemux/rehearsal/run.py
+++ b/lanemux/rehearsal/run.py
@@ -63,11 +63,15 @@
         return not (self.violations or self.crashes or self.missed_expectations)
 
 
-Progress = Callable[[float, Callers], None]
+ProgressCallback = Callable[[float, Callers], None]
 
 
 async def rehearse(
-    scenario: Scenario, seed: int, command: Sequence[str], progress: Progress | None = None, folder: Path | None = None
+    scenario: Scenario,
+    seed: int,
+    command: Sequence[str],
+    progress: ProgressCallback | None = None,
+    folder: Path | None = None,
 ) -> Run:
     """Play a scenario against balancers that `command` starts; CannotRun if one does not start.
 
@@ -188,7 +192,7 @@
 
     # -- the run --
 
-    async def play(self, progress: Progress | None) -> Run:
+    async def play(self, progress: ProgressCallback | None) -> Run:
         """The run itself, from the first ask to the last answer."""
         assert self._pipe is not None
         scenario = self.plan.scenario
@@ -310,7 +314,7 @@
             if flood.returncode is None:
                 flood.kill()
 
-    async def _monitor(self, progress: Progress | None) -> None:
+    async def _monitor(self, progress: ProgressCallback | None) -> None:
         """Once a second: who waits for a processor, what the balancers hold, who has crashed."""
         while True:
             await self._look_at_processes()
--- a/lanemux/rehearsal/terminal.py
+++ b/lanemux/rehearsal/terminal.py
@@ -1,4 +1,4 @@
-"""The terminal in colours, with a bar while a run lasts. Needs rich (extra `rehearsal`); without it plain lines do."""
+"""Coloured terminal output with a progress bar. Needs rich (extra `rehearsal`); without it plain lines are printed."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def print_summary(run: Run, name: str, console: Console) -> None:
-    """The table; what is wrong is red."""
-    wrong = {
+    """Print the results table; failed rows are red."""
+    row_failed = {
         "rules": any(violation_counts(run.violations).values()),
         "expected": bool(run.missed_expectations),
         "valid": not run.validity.valid,
     }
     table = Table(title=f"{name}: {run.plan.scenario.title}", title_justify="left", show_header=False, box=None)
     for label, text in report.summary_rows(run):
-        style = "" if label not in wrong else "bold red" if wrong[label] else "green"
+        style = "" if label not in row_failed else "bold red" if row_failed[label] else "green"
         table.add_row(label, Text(text, style=style))
     console.print(table)
     for line in report.failure_lines(run):
@@ -32,7 +32,7 @@
 
 
 class ProgressBar:
-    """How far a run is; told once a second."""
+    """Progress of a run, updated once a second."""
 
     def __init__(self, console: Console) -> None:
         self._bar = Progress(
@@ -54,8 +54,8 @@
         self._bar.stop()
 
     def update(self, at_s: float, callers: Callers) -> None:
-        whole = callers.plan.scenario.seconds
-        said = f"{callers.asked} asks, {len(callers.books.tries)} tries"
+        total_s = callers.plan.scenario.seconds
+        description = f"{callers.asked} asks, {len(callers.books.tries)} tries"
         if self._task is None:
-            self._task = self._bar.add_task(said, total=whole)
-        self._bar.update(self._task, completed=min(at_s, whole), description=said, refresh=True)
+            self._task = self._bar.add_task(description, total=total_s)
+        self._bar.update(self._task, completed=min(at_s, total_s), description=description, refresh=True)
--- a/lanemux/rehearsal/validity.py
+++ b/lanemux/rehearsal/validity.py
@@ -1,7 +1,7 @@
-"""Whether a run may be judged: the kit's own lateness, and the wait of its processes for a processor. No I/O.
+"""Decides whether a run is valid, from the harness's own lateness and its processes' wait for a CPU. No I/O.
 
-A machine that is too busy makes balancers late for reasons that are not theirs. Such a run is called not valid;
-no rule is held against anyone by it.
+A machine that is too busy makes balancers late through no fault of their own. Such a run is marked not valid, and its
+violations do not count against the balancers.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from lanemux.rehearsal.records import BoxRecords, CallerRecords
 from lanemux.rehearsal.service import quantile
 
-LATE_P99_NS = 10 * MS  # a hundredth of a 264 ms aim's figures may shift by so much
-MAX_LATE_NS = 45 * MS  # the rules' limits are 50 ms longer on sockets: lateness must stay under that
-MAX_WAITED_SHARE = 0.05  # share of a second that a process may wait for a processor
-PRESSED_MOST = 0.03  # share of the run that anything may: 0.2% on an idle machine, 8% beside a busy process a core
+MAX_LATE_P99_NS = 10 * MS  # shifts the figures of at most one in a hundred requests with a 264 ms aim by this much
+MAX_LATE_NS = 45 * MS  # must stay below the 50 ms that the rules add to each limit on sockets
+MAX_WAITED_SHARE = 0.05  # share of a second that a process may wait for a CPU
+MAX_PRESSURE_SHARE = 0.03  # share of the run that any task may wait: 0.2% idle, 8% with one busy process per core
 
 
 @dataclass(slots=True)
 class Validity:
-    """Whether the run counts, and what was measured (times in milliseconds)."""
+    """Whether the run is valid, and the measurements behind it (times in milliseconds)."""
 
     valid: bool = True
     reasons: list[str] = field(default_factory=list)
@@ -34,21 +34,21 @@
 
 
 def assess_validity(boxes: BoxRecords, callers: CallerRecords) -> Validity:
-    """Call the run valid, or say why not."""
-    found = Validity(waited_most_share=callers.waited_share, pressed_share=callers.pressed_share)
-    for name, book in (("asks", callers.late_ns), ("callers", callers.lag_ns), ("boxes", boxes.lag_ns)):
-        p99, most = quantile(book, 0.99), max(book, default=0)
-        setattr(found, f"{name}_late_p99_ms", p99 / MS)
+    """Measure the run's validity; `reasons` lists each exceeded limit."""
+    validity = Validity(waited_most_share=callers.waited_share, pressed_share=callers.pressed_share)
+    for name, lateness_ns in (("asks", callers.late_ns), ("callers", callers.lag_ns), ("boxes", boxes.lag_ns)):
+        p99, highest = quantile(lateness_ns, 0.99), max(lateness_ns, default=0)
+        setattr(validity, f"{name}_late_p99_ms", p99 / MS)
         if name != "asks":
-            setattr(found, f"{name}_late_most_ms", most / MS)
-        if p99 > LATE_P99_NS:
-            found.reasons.append(f"{name} were {p99 / MS:.1f} ms late at the 99th percentile")
-        if most > MAX_LATE_NS:
-            found.reasons.append(f"{name} were up to {most / MS:.0f} ms late")
+            setattr(validity, f"{name}_late_most_ms", highest / MS)
+        if p99 > MAX_LATE_P99_NS:
+            validity.reasons.append(f"{name} were {p99 / MS:.1f} ms late at the 99th percentile")
+        if highest > MAX_LATE_NS:
+            validity.reasons.append(f"{name} were up to {highest / MS:.0f} ms late")
     if callers.waited_share > MAX_WAITED_SHARE:
-        found.reasons.append(f"a process waited for a processor for {callers.waited_share:.0%} of a second")
-    if callers.pressed_share > PRESSED_MOST:
-        found.reasons.append(f"the machine's processors were taken for {callers.pressed_share:.0%} of the run")
-    found.reasons += boxes.unstarted
-    found.valid = not found.reasons
-    return found
+        validity.reasons.append(f"a process waited for a processor for {callers.waited_share:.0%} of a second")
+    if callers.pressed_share > MAX_PRESSURE_SHARE:
+        validity.reasons.append(f"the machine's processors were taken for {callers.pressed_share:.0%} of the run")
+    validity.reasons += boxes.unstarted
+    validity.valid = not validity.reasons
+    return validity
--- a/tests/rehearsal/test_report.py
+++ b/tests/rehearsal/test_report.py
@@ -14,7 +14,7 @@
 
 from lanemux.rehearsal import command
 from lanemux.rehearsal.callers import Callers
-from lanemux.rehearsal.command import BAD_USE, find_scenario, main
+from lanemux.rehearsal.command import USAGE_ERROR, find_scenario, main
 from lanemux.rehearsal.page import as_html
 from lanemux.rehearsal.plan import SECOND, draw_plan
 from lanemux.rehearsal.records import Anomaly, Attempt, BoxRecords, CallerRecords, StateSpan
@@ -70,7 +70,7 @@
 def test_bad_use_is_told_in_a_line_and_plays_nothing(
     words: tuple[str, ...], said: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(words) == BAD_USE
+    assert main(words) == USAGE_ERROR
     assert said in capsys.readouterr().err
 
 
@@ -101,7 +101,7 @@
 ) -> None:
     monkeypatch.setattr(command, "installed", lambda name: False)
     monkeypatch.setattr(asyncio, "run", lambda work: pytest.fail("it was played"))
-    assert main(["calm-short", "--html", "x.html"]) == BAD_USE
+    assert main(["calm-short", "--html", "x.html"]) == USAGE_ERROR
     assert "pip install '.[rehearsal]'" in capsys.readouterr().err
 
 
