--- a/lanemux/rehearsal/records.py
+++ b/lanemux/rehearsal/records.py
@@ -1,7 +1,8 @@
-"""What the stand-ins write down: the ground on which a run is judged. Times are nanoseconds from its start.
+"""What the simulated boxes, callers and discovery record; a run is judged by it. Times are nanoseconds from its start.
 
-Where a party can't know an instant, it books the two ends between which it lies: the last look at which the
-thing had not happened, and the one at which it had. The rules' checker accuses only on the end that excuses.
+Where the exact time of an event is unknown, its bounds are recorded: the last poll at which it had not happened, and
+the first at which it had. The rule checker reports a violation only if it follows from the bound that favours the
+balancer.
 """
 
 from __future__ import annotations
@@ -13,55 +14,55 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as a box saw it."""
+    """One attempt: a request as received by a box."""
 
     box: int
     balancer: int
     id: str
     target: str
-    first_lo_ns: int  # its first byte had not been sent before this
-    whole_ns: int  # its last byte was here by then
-    open_ns: int = 0  # the balancer was still waiting for it at this time
-    end_ns: int = 0  # it ended for the box
+    first_lo_ns: int  # lower bound: its first byte was not sent before this
+    whole_ns: int  # its last byte had been received by then
+    open_ns: int = 0  # the latest time at which the balancer was known to be still waiting
+    end_ns: int = 0  # when it ended at the box
     how: str = ""  # answered, error, declined, cancelled (the balancer closed), died
-    digest: str = ""  # of the body that was answered with 200
-    served_ns: int = 0  # work done for it
-    told_ms: int = 0  # the time that the balancer said it would wait; 0: it said nothing
+    digest: str = ""  # of the body of a 200 response
+    served_ns: int = 0  # processing time spent on it
+    told_ms: int = 0  # the timeout that the balancer stated; 0: none
 
 
 @dataclass(slots=True)
 class Told:
-    """A row of the list, written to a balancer's connection."""
+    """An update of one row of the list of boxes, sent to one balancer."""
 
     balancer: int
     box: int
     health: str
     written_ns: int
-    due_ns: int  # the agent had it; told some seconds later at the latest, read or not
+    due_ns: int  # counts as delivered by then, whether or not the balancer has read it
 
 
 @dataclass(slots=True)
 class Try:
-    """One request of a caller to a balancer."""
+    """One request of a caller to a balancer; an ask consists of a first try and its retries."""
 
     ask: int
-    number: int  # 0: the first one
+    number: int  # 0: the first try
     id: str
     balancer: int
     target: str
-    sent_ns: int = 0  # its last byte was written; 0: it never was
-    deadline_ns: int = 0  # the balancer was told so
+    sent_ns: int = 0  # when its last byte was written; 0: never
+    deadline_ns: int = 0  # as stated to the balancer
     end_ns: int = 0
-    how: str = ""  # answered, lost (the connection ended), silent (no answer in time), left, refused (no connection)
+    how: str = ""  # answered, lost (connection ended), silent (no answer in time), left, refused (no connection)
     status: int = 0
     digest: str = ""
     retry_after: str = ""
-    crossed_ns: int = 0  # a used connection ended under it and it was sent once more; 0: it was not
+    crossed_ns: int = 0  # when a reused connection closed under it and it was sent again; 0: never
 
 
 @dataclass(slots=True)
 class Anomaly:
-    """Something that no honest balancer does, with where it was seen."""
+    """A breach that was seen directly by a box or a caller: something no correct balancer does."""
 
     at_ns: int
     rule: str
@@ -72,7 +73,7 @@
 
 @dataclass(slots=True)
 class StateSpan:
-    """A span of a box's or a balancer's state, for the rules and the plots."""
+    """A period that a box or a balancer spent in one state, for the rules and the plots."""
 
     who: int
     state: str  # frozen, cold, draining, down, restarting, fallen
@@ -82,37 +83,37 @@
 
 @dataclass(slots=True)
 class BoxRecords:
-    """What the boxes saw."""
+    """What the boxes recorded."""
 
     attempts: list[Attempt] = field(default_factory=list)
     state_spans: list[StateSpan] = field(default_factory=list)
     anomalies: list[Anomaly] = field(default_factory=list)
     probes: int = 0
-    opened: int = 0  # connections
-    open_most: int = 0  # at once, over all boxes
+    opened: int = 0  # connections accepted in all
+    open_most: int = 0  # most connections open at once, over all boxes
     open_at_end: int = 0
-    held: list[tuple[int, int, int]] = field(default_factory=list)  # (time, box, requests it holds), sampled
-    pushed_most: float = 0.0  # of a cold box's budget
-    lag_ns: list[int] = field(default_factory=list)  # how late its loop ran
-    faults: list[str] = field(default_factory=list)  # exceptions of the kit's own in the boxes' process
-    unstarted: list[str] = field(default_factory=list)  # boxes that did not get their addresses back
+    held: list[tuple[int, int, int]] = field(default_factory=list)  # samples: (time, box, requests in progress)
+    pushed_most: float = 0.0  # highest share of its load budget that a cold box was sent
+    lag_ns: list[int] = field(default_factory=list)  # lateness of the event loop of the boxes' process
+    faults: list[str] = field(default_factory=list)  # the harness's own exceptions in the boxes' process
+    unstarted: list[str] = field(default_factory=list)  # boxes that could not bind their addresses again
 
 
 @dataclass(slots=True)
 class CallerRecords:
-    """What the callers and discovery saw."""
+    """What the callers and the discovery agents recorded."""
 
     tries: list[Try] = field(default_factory=list)
     told: list[Told] = field(default_factory=list)
     anomalies: list[Anomaly] = field(default_factory=list)
     balancers_down: list[StateSpan] = field(default_factory=list)
-    late_ns: list[int] = field(default_factory=list)  # how late asks were sent
-    lag_ns: list[int] = field(default_factory=list)
+    late_ns: list[int] = field(default_factory=list)  # how late asks were sent, against the plan
+    lag_ns: list[int] = field(default_factory=list)  # lateness of the callers' event loop
     crashes: list[str] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # exceptions of the kit's own in the callers' process
-    flooded: list[dict[str, int]] = field(default_factory=list)  # of each flood: came up, closed by the balancer, ...
-    waited_share: float = 0.0  # of any second, the most that a process of the run waited for a processor
-    pressed_share: float = 0.0  # of the run, how long anything on the machine waited for a processor
-    busiest_share: float = 0.0  # of any second, the most processor time of a balancer
-    descriptors_most: int = 0  # of any balancer
+    faults: list[str] = field(default_factory=list)  # the harness's own exceptions in the callers' process
+    flooded: list[dict[str, int]] = field(default_factory=list)  # per flood: connections by outcome
+    waited_share: float = 0.0  # highest share of a second that any process of the run waited for a CPU
+    pressed_share: float = 0.0  # share of the run during which any task of the machine waited for a CPU
+    busiest_share: float = 0.0  # highest share of a second that any balancer used a CPU
+    descriptors_most: int = 0  # most open file descriptors of any balancer
     memory_most_mb: float = 0.0
--- a/lanemux/rehearsal/run.py
+++ b/lanemux/rehearsal/run.py
@@ -1,4 +1,4 @@
-"""One rehearsal: starts the boxes, discovery, the balancers and the callers, and brings the books together."""
+"""Runs one rehearsal: starts the boxes, discovery, balancers and callers, and evaluates what they recorded."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 from lanemux.rehearsal.service import Figures, compute_figures, missed_expectations
 from lanemux.rehearsal.validity import Validity, assess_validity
 
-LEAD_S = 0.3  # from the last balancer's readiness to the first ask
-NEW_CONNECTIONS_NS = 300 * MS  # after SIGTERM, new connections go on coming for so long
-RESTART_READY_S = 10.0  # a balancer that was started again is ready by then
-MONITOR_S = 1.0  # how often the processes are looked at
-LOG_TAIL = 2000  # bytes of a failed balancer's log that are shown
+START_DELAY_S = 0.3  # between the last balancer becoming ready and the first ask
+NEW_CONNECTIONS_AFTER_SIGTERM_NS = 300 * MS  # the front sends new connections this long after SIGTERM
+RESTART_READY_S = 10.0  # a restarted balancer must be ready within this time
+MONITOR_INTERVAL_S = 1.0  # between samples of the processes
+LOG_TAIL_BYTES = 2000  # of a failed balancer's log, shown in its error
 
 
 class CannotRun(Exception):
-    """The rehearsal could not start; the text says why."""
+    """The rehearsal could not start; the message says why."""
 
 
 @dataclass(slots=True)
 class Run:
-    """A rehearsal that is over."""
+    """The results of a finished rehearsal."""
 
     plan: Plan
     digest: str
@@ -54,12 +54,12 @@
     violations: list[Violation]
     validity: Validity
     crashes: list[str] = field(default_factory=list)
-    missed_expectations: list[str] = field(default_factory=list)  # expectations of the scenario
+    missed_expectations: list[str] = field(default_factory=list)  # of the scenario's [expect] section
     wall_s: float = 0.0
 
     @property
     def passed(self) -> bool:
-        """No rule broken, no balancer crashed, no expectation missed."""
+        """Whether no rule was violated, no balancer crashed and no expectation was missed."""
         return not (self.violations or self.crashes or self.missed_expectations)
 
 
@@ -73,71 +73,73 @@
     progress: ProgressCallback | None = None,
     folder: Path | None = None,
 ) -> Run:
-    """Play a scenario against balancers that `command` starts; CannotRun if one does not start.
+    """Run a scenario against balancers that `command` starts; CannotRun if one does not start.
 
-    Their configurations and logs go to `folder`, if one is given."""
+    Their configurations and logs go to `folder` if given, else to a temporary directory."""
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as temporary:
-        stage = Stage(scenario, seed, command, folder or Path(temporary))
+        rehearsal = Rehearsal(scenario, seed, command, folder or Path(temporary))
         try:
-            await stage.open()
-            run = await stage.play(progress)
+            await rehearsal.open()
+            run = await rehearsal.play(progress)
         finally:
-            await stage.close()
+            await rehearsal.close()
             gc.unfreeze()
             gc.enable()
     run.wall_s = time.monotonic() - began
     return run
 
 
-class Stage:
-    """All parties of one run."""
+class Rehearsal:
+    """All components of one run: boxes, discovery agents, balancers, relay and callers."""
 
     def __init__(self, scenario: Scenario, seed: int, command: Sequence[str], folder: Path) -> None:
         self.plan = draw_plan(scenario, seed)
-        self.books = CallerRecords()
+        self.records = CallerRecords()
         self._loop = asyncio.get_running_loop()
         self._command, self._folder = command, folder
-        # Runs beside one another on a machine take other parts of the loopback range.
-        self._prefix = f"127.{64 + os.getpid() % 128}"
-        self._zero_ns = int(self._loop.time() * 1e9)
+        # Concurrent runs on one machine use different parts of the loopback range.
+        self._address_prefix = f"127.{64 + os.getpid() % 128}"
+        self._start_ns = int(self._loop.time() * 1e9)
         self._agents: list[ListAgent] = []
         self._balancers: list[Balancer] = []
         self._relay: Relay | None = None
         self._callers: Callers | None = None
         self._timers: list[asyncio.TimerHandle] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self._processes = ProcessMonitor(self.books)
-        self._down: dict[int, StateSpan] = {}
+        self._process_monitor = ProcessMonitor(self.records)
+        self._down_spans: dict[int, StateSpan] = {}
         self._addresses: list[list[Address]] = []
-        self._boxes: multiprocessing.process.BaseProcess | None = None
+        self._boxes_process: multiprocessing.process.BaseProcess | None = None
         self._pipe: Connection | None = None
-        self._box_books: asyncio.Future[BoxRecords] = self._loop.create_future()
+        self._box_records: asyncio.Future[BoxRecords] = self._loop.create_future()
 
     def now(self) -> int:
-        return int(self._loop.time() * 1e9) - self._zero_ns
+        return int(self._loop.time() * 1e9) - self._start_ns
 
     # -- start --
 
     async def open(self) -> None:
-        """Start everybody, and wait until the balancers are ready."""
-        self._loop.set_exception_handler(lambda _, context: self.books.faults.append(boxes_process.fault_text(context)))
+        """Start all components and wait until the balancers are ready."""
+        self._loop.set_exception_handler(
+            lambda _, context: self.records.faults.append(boxes_process.fault_text(context))
+        )
         await self._start_boxes()
         count = self.plan.scenario.fleet.balancers
-        hosts = [f"{self._prefix}.200.{b + 1}" for b in range(count)]
+        hosts = [f"{self._address_prefix}.200.{b + 1}" for b in range(count)]
         places = [Place(free_port(h), ("", 0), free_port(h, datagrams=True), [], ("", 0)) for h in hosts]
         self._relay = Relay(self.plan.scenario.network, [p.peer_listen for p in places], self.plan.seed)
-        peers, everyone = await self._relay.open(f"{self._prefix}.201.1")
+        peers, broadcast_addresses = await self._relay.open(f"{self._address_prefix}.201.1")
         wall_zero_ms = time.time_ns() // 1_000_000
-        new_agent = self._source(wall_zero_ms)
+        new_agent = self._agent_factory(wall_zero_ms)
         for number, place in enumerate(places):
             agent = new_agent(number)
             self._agents.append(agent)
-            place.discovery = await agent.open(f"{self._prefix}.202.{number + 1}")
+            place.discovery = await agent.open(f"{self._address_prefix}.202.{number + 1}")
             place.operators = agent.operators() + self.plan.scenario.operators
-            place.peers, place.peers_all = peers[number], everyone[number]
+            place.peers, place.peers_all = peers[number], broadcast_addresses[number]
             for box in self.plan.initial_boxes:
-                self._notice(agent, Notice(0, box, "up", 0), first=True)
+                self._deliver_notice(agent, Notice(0, box, "up", 0), first=True)
             self._balancers.append(
                 Balancer(number, self._command, place, self._folder, settings(self.plan, number), self.plan.seed)
             )
@@ -145,209 +147,211 @@
             balancer.start(self._agents[balancer.number].listing())
         for balancer in self._balancers:
             if not await balancer.ready():
-                raise CannotRun(f"balancer {balancer.number} did not become ready: {_tail(balancer)}")
+                raise CannotRun(f"balancer {balancer.number} did not become ready: {_log_tail(balancer)}")
 
     async def _start_boxes(self) -> None:
         context = multiprocessing.get_context("spawn")
-        self._pipe, theirs = context.Pipe()
-        self._boxes = context.Process(
-            target=boxes_process.main, daemon=True, args=(theirs, self.plan.scenario, self.plan.seed, self._prefix)
+        self._pipe, child_pipe = context.Pipe()
+        self._boxes_process = context.Process(
+            target=boxes_process.main,
+            daemon=True,
+            args=(child_pipe, self.plan.scenario, self.plan.seed, self._address_prefix),
         )
-        self._boxes.start()
-        theirs.close()
+        self._boxes_process.start()
+        child_pipe.close()
         _, self._addresses, digest = await boxes_process.receive(self._loop, self._pipe)
-        assert digest == self.plan.digest(), "boxes and callers play different plans"
-        self._loop.add_reader(self._pipe.fileno(), self._heard)
+        assert digest == self.plan.digest(), "the boxes' process and the callers have different plans"
+        self._loop.add_reader(self._pipe.fileno(), self._on_boxes_message)
 
-    def _heard(self) -> None:
-        """The boxes' process speaks: a box has fallen, or the books are here."""
+    def _on_boxes_message(self) -> None:
+        """Handle a message of the boxes' process: a box fell over, or the final records arrived."""
         assert self._pipe is not None
         try:
-            what, *rest = self._pipe.recv()
+            kind, *arguments = self._pipe.recv()
         except (EOFError, OSError):
             self._loop.remove_reader(self._pipe.fileno())
-            if not self._box_books.done():
-                self._box_books.set_exception(CannotRun("the boxes' process ended"))
+            if not self._box_records.done():
+                self._box_records.set_exception(CannotRun("the boxes' process ended"))
             return
-        if what == "books":
-            self._box_books.set_result(rest[0])
+        if kind == "books":
+            self._box_records.set_result(arguments[0])
         else:
-            box, at = rest
-            wait = random.Random(f"{self.plan.seed}/{box}").uniform(*self.plan.scenario.discovery.notice_s)
-            self._at(at + int(wait * SECOND), self._tell, Notice(at, box, "removed", 0))
+            box, at_ns = arguments
+            delay_s = random.Random(f"{self.plan.seed}/{box}").uniform(*self.plan.scenario.discovery.notice_s)
+            self._schedule(at_ns + int(delay_s * SECOND), self._notify_agents, Notice(at_ns, box, "removed", 0))
 
-    def _source(self, wall_zero_ms: int) -> Callable[[int], ListAgent]:
-        """What tells each balancer the list."""
+    def _agent_factory(self, wall_zero_ms: int) -> Callable[[int], ListAgent]:
+        """A function that makes the discovery agent of a balancer, by its number."""
         if self.plan.scenario.discovery.source == "agent":
-            return lambda number: Agent(number, self.now, wall_zero_ms, self.books.told)
-        from lanemux.rehearsal.etcd.agent import EtcdAgent  # only here: it needs the extra `etcd`
+            return lambda number: Agent(number, self.now, wall_zero_ms, self.records.told)
+        from lanemux.rehearsal.etcd.agent import EtcdAgent  # imported here because it needs the extra `etcd`
         from lanemux.rehearsal.etcd.store import Store
 
         store = Store()
-        return lambda number: EtcdAgent(number, self.now, wall_zero_ms, self.books.told, store)
+        return lambda number: EtcdAgent(number, self.now, wall_zero_ms, self.records.told, store)
 
-    def _notice(self, agent: ListAgent, notice: Notice, first: bool = False) -> None:
+    def _deliver_notice(self, agent: ListAgent, notice: Notice, first: bool = False) -> None:
         box = self.plan.boxes[notice.box]
         agent.tell(box, self._addresses[box.slot][agent.balancer], notice, first)
 
     # -- the run --
 
     async def play(self, progress: ProgressCallback | None) -> Run:
-        """The run itself, from the first ask to the last answer."""
+        """Run the scenario from the first ask to the last answer, and evaluate it."""
         assert self._pipe is not None
         scenario = self.plan.scenario
-        self._zero_ns = int((self._loop.time() + LEAD_S) * 1e9)
-        self._pipe.send(("start", self._zero_ns))
+        self._start_ns = int((self._loop.time() + START_DELAY_S) * 1e9)
+        self._pipe.send(("start", self._start_ns))
         front = Front(
             [room_of(scenario.fleet, b) for b in range(scenario.fleet.balancers)],
             [b.place.listen for b in self._balancers],
         )
         grace_ns = int(scenario.callers.grace_ms * MS)
-        callers = self._callers = Callers(self.plan, front, self.books, self._zero_ns, grace_ns)
+        callers = self._callers = Callers(self.plan, front, self.records, self._start_ns, grace_ns)
         for notice in self.plan.notices:
-            self._at(notice.at_ns, self._tell, notice)
+            self._schedule(notice.at_ns, self._notify_agents, notice)
         for upset in self.plan.upsets:
-            self._at(upset.at_ns, self._agents[upset.who].upset, upset)
-        for happening in self.plan.happenings:
-            if happening.what == "flood":
-                self._at(happening.at_ns, self._spawn_flood, happening)
-            elif happening.what in BALANCER_EVENTS:
-                self._at(happening.at_ns, self._to_balancer, happening, front)
-        lateness = Lateness(self._loop, self.books.lag_ns)
+            self._schedule(upset.at_ns, self._agents[upset.who].upset, upset)
+        for event in self.plan.happenings:
+            if event.what == "flood":
+                self._schedule(event.at_ns, self._start_flood, event)
+            elif event.what in BALANCER_EVENTS:
+                self._schedule(event.at_ns, self._apply_balancer_event, event, front)
+        lateness = Lateness(self._loop, self.records.lag_ns)
         quiet_collector()
-        pressed, began = pressed_ns(), self.now()
+        pressure_before_ns, began = pressed_ns(), self.now()
         callers.begin()
-        self._spawn(self._monitor(progress))
+        self._start_task(self._monitor(progress))
         await callers.done.wait()
-        longest = max(c.deadline_ms for c in scenario.classes) / 1000
-        await asyncio.sleep(longest + grace_ns / 1e9)
+        longest_deadline_s = max(c.deadline_ms for c in scenario.classes) / 1000
+        await asyncio.sleep(longest_deadline_s + grace_ns / 1e9)
         lateness.stop()
-        self.books.pressed_share = (pressed_ns() - pressed) / max(1, self.now() - began)
+        self.records.pressed_share = (pressed_ns() - pressure_before_ns) / max(1, self.now() - began)
         await self._stop_balancers()
         self._pipe.send(("stop",))
-        boxes = await self._box_books
-        for life in self._down.values():
-            life.to_ns = self.now()
-        found = compute_figures(self.plan, boxes, self.books)
+        boxes = await self._box_records
+        for span in self._down_spans.values():
+            span.to_ns = self.now()
+        run_figures = compute_figures(self.plan, boxes, self.records)
         return Run(
             self.plan,
             self.plan.digest(),
             boxes,
-            self.books,
-            found,
-            find_violations(self.plan, boxes, self.books),
-            assess_validity(boxes, self.books),
-            self.books.crashes + [f"the kit itself: {fault}" for fault in (*boxes.faults, *self.books.faults)],
-            missed_expectations(self.plan, found),
+            self.records,
+            run_figures,
+            find_violations(self.plan, boxes, self.records),
+            assess_validity(boxes, self.records),
+            self.records.crashes + [f"harness: {fault}" for fault in (*boxes.faults, *self.records.faults)],
+            missed_expectations(self.plan, run_figures),
         )
 
-    def _at(self, at_ns: int, do: Callable[..., object], *args: object) -> None:
-        self._timers.append(self._loop.call_at((self._zero_ns + at_ns) / 1e9, do, *args))
+    def _schedule(self, at_ns: int, callback: Callable[..., object], *args: object) -> None:
+        self._timers.append(self._loop.call_at((self._start_ns + at_ns) / 1e9, callback, *args))
 
-    def _tell(self, notice: Notice) -> None:
+    def _notify_agents(self, notice: Notice) -> None:
         for agent in self._agents:
-            self._at(self.now() + self.plan.spread_ns[agent.balancer], self._notice, agent, notice)
+            self._schedule(self.now() + self.plan.spread_ns[agent.balancer], self._deliver_notice, agent, notice)
 
-    def _spawn(self, work: object) -> None:
-        task: asyncio.Task[None] = self._loop.create_task(work)  # type: ignore[arg-type]
+    def _start_task(self, coroutine: object) -> None:
+        task: asyncio.Task[None] = self._loop.create_task(coroutine)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _to_balancer(self, happening: Happening, front: Front) -> None:
-        balancer = self._balancers[happening.who]
-        if happening.what == "kill":
+    def _apply_balancer_event(self, event: Happening, front: Front) -> None:
+        balancer = self._balancers[event.who]
+        if event.what == "kill":
             balancer.kill()
-            self._down[happening.who] = StateSpan(happening.who, "down", self.now())
-            self.books.balancers_down.append(self._down[happening.who])
-            self._at(self.now() + self.plan.fronts_notice_ns, front.known.discard, happening.who)
-        elif happening.what == "restart":
-            self._spawn(self._end(balancer, happening, front))
+            self._down_spans[event.who] = StateSpan(event.who, "down", self.now())
+            self.records.balancers_down.append(self._down_spans[event.who])
+            self._schedule(self.now() + self.plan.fronts_notice_ns, front.known.discard, event.who)
+        elif event.what == "restart":
+            self._start_task(self._terminate_balancer(balancer, event, front))
         else:
-            self._spawn(self._revive(balancer, front))
-
-    async def _end(self, balancer: Balancer, happening: Happening, front: Front) -> None:
-        """A planned end: the front takes it out soon after, and clients go on using what is open."""
-        who = balancer.number
-        self._down[who] = StateSpan(who, "restarting", self.now())
-        self.books.balancers_down.append(self._down[who])
-        front.ending.add(who)
-        self._at(self.now() + NEW_CONNECTIONS_NS, front.known.discard, who)
-        fault = await balancer.end_by((self._zero_ns + happening.until_ns) / 1e9, bool(happening.size))
-        front.ending.discard(who)
-        front.known.discard(who)
+            self._start_task(self._restart_balancer(balancer, front))
+
+    async def _terminate_balancer(self, balancer: Balancer, event: Happening, front: Front) -> None:
+        """End a balancer as planned: the front removes it shortly after, clients keep using open connections."""
+        number = balancer.number
+        self._down_spans[number] = StateSpan(number, "restarting", self.now())
+        self.records.balancers_down.append(self._down_spans[number])
+        front.ending.add(number)
+        self._schedule(self.now() + NEW_CONNECTIONS_AFTER_SIGTERM_NS, front.known.discard, number)
+        fault = await balancer.end_by((self._start_ns + event.until_ns) / 1e9, bool(event.size))
+        front.ending.discard(number)
+        front.known.discard(number)
         if fault:
-            self.books.crashes.append(f"{fault}: {_tail(balancer)}")
+            self.records.crashes.append(f"{fault}: {_log_tail(balancer)}")
 
-    async def _revive(self, balancer: Balancer, front: Front) -> None:
-        life = self._down.pop(balancer.number, None)
+    async def _restart_balancer(self, balancer: Balancer, front: Front) -> None:
+        span = self._down_spans.pop(balancer.number, None)
         balancer.start(self._agents[balancer.number].listing())
-        if life is not None:
-            life.to_ns = self.now()
+        if span is not None:
+            span.to_ns = self.now()
         began = self._loop.time()
         if await balancer.ready():
             front.known.add(balancer.number)
         if self._loop.time() - began > RESTART_READY_S and not balancer.meant_down:
-            self.books.crashes.append(f"balancer {balancer.number} was not ready within {RESTART_READY_S:.0f} s")
+            self.records.crashes.append(f"balancer {balancer.number} was not ready within {RESTART_READY_S:.0f} s")
 
-    def _spawn_flood(self, happening: Happening) -> None:
-        self._spawn(self._flood(happening))
+    def _start_flood(self, event: Happening) -> None:
+        self._start_task(self._flood(event))
 
-    async def _flood(self, happening: Happening) -> None:
-        """From a process of its own, so that the callers are not late for it."""
-        listen = self._balancers[happening.who].place.listen
-        seconds = (happening.until_ns - happening.at_ns) / SECOND
+    async def _flood(self, event: Happening) -> None:
+        """Flood a balancer with connections, from a separate process so that it does not delay the callers."""
+        listen = self._balancers[event.who].place.listen
+        seconds = (event.until_ns - event.at_ns) / SECOND
         flood = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "lanemux.rehearsal.flood",
             *map(str, listen),
-            str(int(happening.size)),
-            f"{self._prefix}.210",
-            str(happening.sources),
+            str(int(event.size)),
+            f"{self._address_prefix}.210",
+            str(event.sources),
             str(seconds),
             stdout=asyncio.subprocess.PIPE,
         )
         try:
-            told, _ = await flood.communicate()
-            self.books.flooded.append(json.loads(told))
+            output, _ = await flood.communicate()
+            self.records.flooded.append(json.loads(output))
         finally:
             if flood.returncode is None:
                 flood.kill()
 
     async def _monitor(self, progress: ProgressCallback | None) -> None:
-        """Once a second: who waits for a processor, what the balancers hold, who has crashed."""
+        """Every second, sample CPU waits and resource usage, record crashes and report progress."""
         while True:
-            await self._look_at_processes()
+            await self._sample_processes()
             if progress is not None and self._callers is not None:
                 progress(self.now() / 1e9, self._callers)
-            await asyncio.sleep(MONITOR_S)
+            await asyncio.sleep(MONITOR_INTERVAL_S)
 
-    async def _look_at_processes(self) -> None:
+    async def _sample_processes(self) -> None:
         balancers = [b.process.pid for b in self._balancers if b.process is not None and b.process.poll() is None]
-        boxes = [self._boxes.pid] if self._boxes is not None and self._boxes.pid else []
-        await self._processes.sample([os.getpid(), *boxes], balancers, record_waits=self.now() > SECOND)
-        self._note_crashes()
+        boxes = [self._boxes_process.pid] if self._boxes_process is not None and self._boxes_process.pid else []
+        await self._process_monitor.sample([os.getpid(), *boxes], balancers, record_waits=self.now() > SECOND)
+        self._record_crashes()
 
-    def _note_crashes(self) -> None:
+    def _record_crashes(self) -> None:
         for balancer in self._balancers:
             if balancer.crashed:
-                balancer.meant_down = True  # told once
+                balancer.meant_down = True  # record each crash once
                 status = balancer.process.returncode if balancer.process is not None else None
-                self.books.crashes.append(
-                    f"balancer {balancer.number} ended by itself with status {status}: {_tail(balancer)}"
+                self.records.crashes.append(
+                    f"balancer {balancer.number} ended by itself with status {status}: {_log_tail(balancer)}"
                 )
 
     async def _stop_balancers(self) -> None:
-        self._note_crashes()
+        self._record_crashes()
         faults = await asyncio.gather(*(balancer.stop() for balancer in self._balancers))
         for balancer, fault in zip(self._balancers, faults, strict=True):
             if fault:
-                self.books.crashes.append(f"{fault}: {_tail(balancer)}")
+                self.records.crashes.append(f"{fault}: {_log_tail(balancer)}")
 
     # -- end --
 
     async def close(self) -> None:
-        """Leave nothing behind, also after a failure."""
+        """Release everything, also after a failure."""
         for handle in self._timers:
             handle.cancel()
         for task in self._tasks:
@@ -365,17 +369,17 @@
         if self._pipe is not None:
             self._loop.remove_reader(self._pipe.fileno())
             self._pipe.close()
-        if self._boxes is not None:
-            self._boxes.join(2.0)
-            if self._boxes.is_alive():
-                self._boxes.kill()
-                self._boxes.join()
+        if self._boxes_process is not None:
+            self._boxes_process.join(2.0)
+            if self._boxes_process.is_alive():
+                self._boxes_process.kill()
+                self._boxes_process.join()
         await asyncio.sleep(0)
 
 
-def _tail(balancer: Balancer) -> str:
-    """The end of what it wrote."""
+def _log_tail(balancer: Balancer) -> str:
+    """The end of the balancer's log."""
     try:
-        return balancer.log.read_bytes()[-LOG_TAIL:].decode(errors="replace").strip() or "it wrote nothing"
+        return balancer.log.read_bytes()[-LOG_TAIL_BYTES:].decode(errors="replace").strip() or "the log is empty"
     except OSError:
-        return "it wrote nothing"
+        return "the log is empty"
