--- a/lanemux/rehearsal/run.py
+++ b/lanemux/rehearsal/run.py
@@ -210,8 +210,8 @@
         callers = self._callers = Callers(self.plan, front, self.records, self._start_ns, grace_ns)
         for notice in self.plan.notices:
             self._schedule(notice.at_ns, self._notify_agents, notice)
-        for upset in self.plan.upsets:
-            self._schedule(upset.at_ns, self._agents[upset.who].upset, upset)
+        for etcd_fault in self.plan.etcd_faults:
+            self._schedule(etcd_fault.at_ns, self._agents[etcd_fault.who].upset, etcd_fault)
         for event in self.plan.happenings:
             if event.what == "flood":
                 self._schedule(event.at_ns, self._start_flood, event)
--- a/lanemux/rehearsal/scenario.py
+++ b/lanemux/rehearsal/scenario.py
@@ -1,6 +1,7 @@
-"""A scenario: the world of one rehearsal, as a TOML file spells it out. Checked whole; no I/O.
+"""The schema and validation of a scenario, the TOML file that describes one rehearsal. No I/O.
 
-Pairs `[low, high]` are ranges from which the seed draws. Times are in the unit that the key's name ends with.
+Pairs `[low, high]` are ranges from which values are drawn using the seed. Times are in the unit that ends the key's
+name. A file is validated as a whole and all its errors are reported together.
 """
 
 from __future__ import annotations
@@ -12,113 +13,113 @@
 
 Range = tuple[float, float]
 
-MAX_BOXES = 120  # with their successors at most 250: one byte of a loopback address numbers them
-MAX_BALANCERS = 192  # one byte of a loopback address numbers them; from 200 on it stands for parts of the kit
-MAX_ASKS = 200_000  # the books of a run stay in memory, some KiB for each ask
-FAULTS = ("freeze", "neighbour", "heavy", "deploy", "crash", "vanish", "kill", "flood", "partner", "restart")
-BALANCER_EVENTS = ("kill", "revive", "flood", "restart")  # what befalls balancers and not boxes
+MAX_BOXES = 120  # at most 250 with their successors: one byte of a loopback address holds the number
+MAX_BALANCERS = 192  # one byte of a loopback address holds the number; 200 and above are the harness's own
+MAX_ASKS = 200_000  # the records of a run stay in memory, some KiB for each ask
+FAULT_KINDS = ("freeze", "neighbour", "heavy", "deploy", "crash", "vanish", "kill", "flood", "partner", "restart")
+BALANCER_EVENTS = ("kill", "revive", "flood", "restart")  # events of balancers, not of boxes
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """[[classes]]: a kind of request, and what repeating it may do."""
+    """[[classes]]: a class of requests, and whether they may be repeated."""
 
     name: str
     share: float = bounded(0, 1)  # of the asks
-    work_ms: float = bounded(0.1, 10_000)  # mean work on a core of speed 1
-    cv: float = bounded(0, 3, 0.6)  # its standard deviation over its mean (lognormal)
-    attempt_noise: float = bounded(0, 3, 0.3)  # the same for one attempt's work around its request's
-    aim_ms: float = bounded(1, 60_000, 264.0)  # an answer later than this is worth nothing
-    deadline_ms: float = bounded(1, 60_000, 661.0)  # the ask is given up after this, over all its tries
-    worth: float = bounded(0, 1000, 1.0)  # for each unit of work
+    work_ms: float = bounded(0.1, 10_000)  # mean processing time on a core of speed 1
+    cv: float = bounded(0, 3, 0.6)  # coefficient of variation of the work (lognormal)
+    attempt_noise: float = bounded(0, 3, 0.3)  # the same, of an attempt's work around its request's
+    aim_ms: float = bounded(1, 60_000, 264.0)  # a later response is worth nothing
+    deadline_ms: float = bounded(1, 60_000, 661.0)  # the ask is abandoned after this, over all its tries
+    worth: float = bounded(0, 1000, 1.0)  # per unit of work
     effect: str = one_of(("safe", "keyed", "unsafe"), "safe")  # safe: GET; keyed: POST with a key; unsafe: POST
-    scope: str = one_of(("all", "zone", "cell"), "all")  # keyed: the boxes that drop each other's repeats
-    window_ms: float = bounded(1, 600_000, 5000.0)  # keyed: and for how long, from the first that may have run
+    scope: str = one_of(("all", "zone", "cell"), "all")  # keyed: the boxes that deduplicate each other's requests
+    window_ms: float = bounded(1, 600_000, 5000.0)  # keyed: for how long, from the first attempt that may have run
 
 
 @dataclass(frozen=True, slots=True)
 class Partner:
-    """[[partner]]: who shares the service."""
+    """[[partners]]: a tenant with a share of the service."""
 
     name: str
     share: float = bounded(0, 1)
-    usage: Range = bounded(0, 10, (1.0, 1.0))  # its traffic over its share
+    usage: Range = bounded(0, 10, (1.0, 1.0))  # its traffic relative to its share
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """[fleet]: the quote boxes."""
+    """[fleet]: the quote boxes (upstream servers) and the number of balancers."""
 
     boxes: int = bounded(1, MAX_BOXES, 10)
     balancers: int = bounded(1, MAX_BALANCERS, 4)
     rooms: tuple[str, ...] = ("woodbrook", "st-james")
-    cell_size: int = bounded(1, MAX_BOXES, 4)  # boxes of a block
+    cell_size: int = bounded(1, MAX_BOXES, 4)  # boxes per cell
     cores: int = bounded(1, 64, 1)
-    slots_per_core: int = bounded(1, 64, 1)  # requests in work at once
-    queue_per_core: Range = bounded(0, 1000, (6.0, 10.0))  # further ones wait; beyond that they are turned away
+    slots_per_core: int = bounded(1, 64, 1)  # requests processed at once
+    queue_per_core: Range = bounded(0, 1000, (6.0, 10.0))  # waiting requests; further ones are declined
     speed_cv: Range = bounded(0, 0.5, (0.05, 0.1))
     thrash: Range = bounded(0, 0.9, (0.05, 0.14))  # speed lost while a core holds more than thrash_at
     thrash_at: Range = bounded(0, 1000, (4.6, 6.9))
-    cold_from: Range = bounded(0.01, 1, (0.31, 0.57))  # share of its capacity at the start
-    cold_s: Range = bounded(0.01, 600, (3.1, 8.7))  # warm after this at the latest
-    cold_worst_from: float = bounded(0.01, 1, 0.31)  # what the balancers are told of both
+    cold_from: Range = bounded(0.01, 1, (0.31, 0.57))  # share of its capacity right after the start
+    cold_s: Range = bounded(0.01, 600, (3.1, 8.7))  # fully warm after this at the latest
+    cold_worst_from: float = bounded(0.01, 1, 0.31)  # the worst values of cold_from and cold_s, given to the balancers
     cold_worst_s: float = bounded(0.01, 600, 8.7)
-    fall_multiple: float = bounded(1, 100, 2.5)  # sent more than so many times what it can do
-    fall_ms: float = bounded(10, 60_000, 1500.0)  # for so long, a cold box falls over
+    fall_multiple: float = bounded(1, 100, 2.5)  # a cold box that is sent more than this multiple of its capacity
+    fall_ms: float = bounded(10, 60_000, 1500.0)  # for this long falls over
     drain_grace_ms: float = bounded(0, 60_000, 500.0)
     error_rate: Range = bounded(0, 1, (0.0, 0.002))
-    cancels_queued: float = bounded(0, 1, 0.5)  # share of seeds on which a cancel drops waiting work
-    report_ms: Range = bounded(0, 1000, (1.0, 4.0))  # how often what /stats tells is refreshed
-    probe_us: Range = bounded(0, 10_000, (19.0, 58.0))  # work of a probe
-    handshake_us: Range = bounded(0, 100_000, (48.0, 144.0))  # work of a new connection
-    connections: int = bounded(1, 10_000, 512)  # a box holds so many, and resets more
-    full_tax: float = bounded(0, 0.9, 0.25)  # speed lost with a full table of connections
-    idle_s: float = bounded(0.1, 600, 15.0)  # a connection idle for so long is closed
-    looks: bool = True  # balancers may ask a box for its load; else they go by what they sent there
+    cancels_queued: float = bounded(0, 1, 0.5)  # share of seeds for which a cancel removes queued work
+    report_ms: Range = bounded(0, 1000, (1.0, 4.0))  # refresh interval of what /stats reports
+    probe_us: Range = bounded(0, 10_000, (19.0, 58.0))  # processing time of a probe
+    handshake_us: Range = bounded(0, 100_000, (48.0, 144.0))  # processing time of a new connection
+    connections: int = bounded(1, 10_000, 512)  # limit per box; further ones are reset
+    full_tax: float = bounded(0, 0.9, 0.25)  # share of the speed lost at the connection limit
+    idle_s: float = bounded(0.1, 600, 15.0)  # idle timeout of a connection
+    looks: bool = True  # balancers may probe a box for its load; else they only know what they sent
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """[load]: asks arrive by a plan and never wait for answers."""
+    """[load]: open-loop arrivals; asks never wait for earlier responses."""
 
-    rate: float = bounded(0.1, 5000, 64.0)  # asks a second
-    shape: str = one_of(("steady", "ramp", "rush"), "steady")  # ramp: rises over the run; rush: a hump in the middle
-    swing: float = bounded(0, 0.9, 0.2)  # of the shape, around the rate
-    room_skew: float = bounded(0, 0.9, 0.2)  # share of traffic moved to the first room
-    hint_noise: float = bounded(0, 2, 0.4)  # of the cost hints
+    rate: float = bounded(0.1, 5000, 64.0)  # asks per second
+    shape: str = one_of(("steady", "ramp", "rush"), "steady")  # ramp: rises over the run; rush: peaks in the middle
+    swing: float = bounded(0, 0.9, 0.2)  # amplitude of the shape, relative to the rate
+    room_skew: float = bounded(0, 0.9, 0.2)  # share of traffic shifted to the first room
+    hint_noise: float = bounded(0, 2, 0.4)  # coefficient of variation of the cost hints
 
 
 @dataclass(frozen=True, slots=True)
 class Callers:
-    """[callers]: what clients do."""
+    """[callers]: behaviour of the clients."""
 
     retries: int = bounded(0, 3, 3)
-    try_share: Range = bounded(0.05, 1, (0.33, 0.55))  # of the deadline, after which a try is given up
-    at_once: float = bounded(0, 1, 0.5)  # share of callers that retry at once; others wait a fixed time
+    try_share: Range = bounded(0.05, 1, (0.33, 0.55))  # share of the deadline after which a try times out
+    at_once: float = bounded(0, 1, 0.5)  # share of callers that retry immediately; others wait a fixed time
     backoff_ms: Range = bounded(0, 10_000, (20.0, 160.0))
-    marks: bool = True  # a retry says that it is one
-    honour: float = bounded(0, 1, 0.3)  # share of callers that come back no sooner than Retry-After says
-    impatient: float = bounded(0, 1, 0.01)  # share of tries whose caller goes away at some moment
-    front_notice_s: Range = bounded(0, 60, (1.5, 3.8))  # the front goes on sending to a dead balancer
-    grace_ms: float = bounded(1, 5000, 50.0)  # a final answer may come so much after its time
-    use_ending: float = bounded(0, 1, 0.0)  # share of tries on open connections of a balancer that was told to end
+    marks: bool = True  # retries are marked as such
+    honour: float = bounded(0, 1, 0.3)  # share of callers that obey Retry-After
+    impatient: float = bounded(0, 1, 0.01)  # share of asks whose caller disconnects at some moment
+    front_notice_s: Range = bounded(0, 60, (1.5, 3.8))  # how long the front keeps sending to a dead balancer
+    grace_ms: float = bounded(1, 5000, 50.0)  # a final response may come this long after its deadline
+    use_ending: float = bounded(0, 1, 0.0)  # share of tries sent on open connections of a balancer that is terminating
 
 
 @dataclass(frozen=True, slots=True)
 class Discovery:
-    """[discovery]: the list, seconds late."""
+    """[discovery]: how the balancers learn the list of boxes, some seconds late."""
 
-    source: str = one_of(("agent", "etcd"), "agent")  # agent: the platform's; etcd: a stand-in, a member a balancer
-    upset_every_s: Range = bounded(0, 600, (0.0, 0.0))  # etcd: a watch is dropped, reset, stalled or compacted; 0: none
-    notice_s: Range = bounded(0, 60, (0.66, 4.9))  # of a drain or a death
-    silent_notice_s: Range = bounded(0, 120, (5.4, 14.0))  # of a machine that vanished
-    add_s: Range = bounded(0, 60, (0.77, 2.5))  # of a start
-    spread_ms: Range = bounded(0, 10_000, (12.0, 110.0))  # from one agent to the next
+    source: str = one_of(("agent", "etcd"), "agent")  # the platform's agent, or a fake etcd member per balancer
+    upset_every_s: Range = bounded(0, 600, (0.0, 0.0))  # etcd: between drops, resets, stalls, compactions; 0: none
+    notice_s: Range = bounded(0, 60, (0.66, 4.9))  # delay until a drain or a death is reported
+    silent_notice_s: Range = bounded(0, 120, (5.4, 14.0))  # the same, of a machine that vanished
+    add_s: Range = bounded(0, 60, (0.77, 2.5))  # the same, of a start
+    spread_ms: Range = bounded(0, 10_000, (12.0, 110.0))  # further delay of each balancer's agent
 
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """[network]: datagrams between balancers."""
+    """[network]: delay and loss of datagrams between balancers."""
 
     peer_ms: Range = bounded(0, 10_000, (1.0, 33.0))
     peer_loss: float = bounded(0, 1, 0.02)
@@ -126,50 +127,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """[[fault]]: one trouble; which keys count depends on its kind."""
+    """[[faults]]: one fault; which keys apply depends on its kind."""
 
-    kind: str = one_of(FAULTS)
+    kind: str = one_of(FAULT_KINDS)
     at_s: float = bounded(0, 3600, 0.0)
     for_s: float = bounded(0.01, 3600, 10.0)
-    part: Range = bounded(0, 1, (0.25, 0.25))  # of the boxes (kill, restart: of the balancers)
-    pause_ms: Range = bounded(1, 60_000, (66.0, 240.0))  # freeze: how long a box stands still
-    every_s: Range = bounded(0.05, 600, (0.97, 2.6))  # freeze: between two; neighbour: its time on or off
-    take: Range = bounded(0, 0.95, (0.3, 0.62))  # neighbour: of the machine
-    factor: Range = bounded(1, 100, (5.5, 29.0))  # heavy: times the usual work; partner: times its usual asks
-    share: Range = bounded(0, 1, (0.0067, 0.027))  # heavy: of one class
-    class_name: str = ""  # heavy: which class; "": drawn
-    batch: Range = bounded(0.001, 1, (0.051, 0.19))  # deploy: of the fleet at a time
+    part: Range = bounded(0, 1, (0.25, 0.25))  # share of the boxes affected (kill, restart: of the balancers)
+    pause_ms: Range = bounded(1, 60_000, (66.0, 240.0))  # freeze: length of each pause of a box
+    every_s: Range = bounded(0.05, 600, (0.97, 2.6))  # freeze: interval; neighbour: length of each on or off period
+    take: Range = bounded(0, 0.95, (0.3, 0.62))  # neighbour: share of the machine that it takes
+    factor: Range = bounded(1, 100, (5.5, 29.0))  # heavy: multiple of the usual work; partner: of its usual asks
+    share: Range = bounded(0, 1, (0.0067, 0.027))  # heavy: share of one class's asks
+    class_name: str = ""  # heavy: the class; "": drawn at random
+    batch: Range = bounded(0.001, 1, (0.051, 0.19))  # deploy: share of the fleet replaced at a time
     drain_s: Range = bounded(0, 60, (2.3, 5.1))  # deploy: from the drain to the exit
     down_s: Range = bounded(0.05, 600, (5.7, 22.0))  # crash, kill: until it is back; restart: after its end
-    signals: bool = False  # restart: further signals follow the first one until the process has gone
-    connections: int = bounded(1, 15_000, 1000)  # flood: opened within a second at each balancer, and silent
-    sources: int = bounded(1, 200, 4)  # flood: from so many addresses
-    partner_name: str = ""  # partner: whose callers ask so much more, and retry at once; "": drawn
-    die_in_drain: float = bounded(0, 1, 0.1)  # deploy: share of boxes that die before their drain is over
+    signals: bool = False  # restart: further signals follow until the process has exited
+    connections: int = bounded(1, 15_000, 1000)  # flood: idle connections opened within a second at each balancer
+    sources: int = bounded(1, 200, 4)  # flood: number of source addresses
+    partner_name: str = ""  # partner: whose callers ask more and retry at once; "": drawn at random
+    die_in_drain: float = bounded(0, 1, 0.1)  # deploy: share of boxes that die before their drain ends
 
 
 @dataclass(frozen=True, slots=True)
 class Expect:
-    """[expect]: figures that a sound build reaches here on any seed; one missed fails the run like a rule.
+    """[expect]: figures that a correct build reaches with any seed; a missed one fails the run like a violated rule.
 
-    They catch what breaks no rule of a single request: refusals held back, heavy requests never served, frozen
-    boxes taken for healthy, connections that pile up."""
+    They catch defects that violate no rule for a single request: delayed refusals, heavy requests that are never
+    served, frozen boxes treated as healthy, connections that accumulate."""
 
     service_least: float = bounded(0, 1, 0.0)
-    heavy_least: float = bounded(0, 1, 0.0)  # service of the tenth with the largest cost hints
-    refusal_held_share_most: float = bounded(0, 1e6, 1e6)  # of a try's time, with no attempt out before its refusal
-    blindness_most: float = bounded(0, 1e6, 1e6)  # attempts that met a frozen box; 1: as many as by chance
-    given_up_share_most: float = bounded(0, 1, 1.0)  # of the attempts, those that balancers gave up
+    heavy_least: float = bounded(0, 1, 0.0)  # service of the 10% of asks with the largest cost hints
+    refusal_held_share_most: float = bounded(0, 1e6, 1e6)  # share of a try's time idle (no attempt out) before refusal
+    blindness_most: float = bounded(0, 1e6, 1e6)  # attempts sent to frozen boxes; 1: as many as by chance
+    given_up_share_most: float = bounded(0, 1, 1.0)  # share of the attempts that balancers cancelled
     connections_per_box_most: float = bounded(0, 1e6, 1e6)
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A whole scenario file."""
+    """A complete scenario file."""
 
     title: str
     seconds: float = bounded(1, 3600, 30.0)
-    warm_up_s: float = bounded(0, 60, 1.0)  # asks before this are played and not counted
+    warm_up_s: float = bounded(0, 60, 1.0)  # asks before this are sent but not counted
     fleet: Fleet = field(default_factory=Fleet)
     load: Load = field(default_factory=Load)
     callers: Callers = field(default_factory=Callers)
@@ -179,8 +180,8 @@
     classes: tuple[RequestClass, ...] = ()
     partners: tuple[Partner, ...] = ()
     faults: tuple[Fault, ...] = ()
-    hold_up_ms: float = bounded(0, 1000, 0.0)  # a balancer may be held up for so long: the rules allow for it
-    operators: str = ""  # the balancers' own operators' file (TOML); "": they have none
+    hold_up_ms: float = bounded(0, 1000, 0.0)  # the rules allow for a balancer that is stalled for this long
+    operators: str = ""  # text of the balancers' operators' file (TOML); "": none
 
 
 DEFAULT_CLASSES = (
@@ -206,9 +207,9 @@
 
 
 def read_scenario(text: str, where: str) -> Scenario:
-    """The scenario that a TOML text spells out; ValidationError with a line for each fault.
+    """Parse and validate a TOML text; ValidationError with one line per error.
 
-    Where it names no classes or no partners, those of the quote service hold."""
+    Without classes or partners of its own, a scenario gets those of the quote service."""
     scenario = build(Scenario, parse(text, where), where)
     scenario = dataclasses.replace(
         scenario, classes=scenario.classes or DEFAULT_CLASSES, partners=scenario.partners or DEFAULT_PARTNERS
@@ -217,40 +218,40 @@
 
 
 def validated(scenario: Scenario, where: str) -> Scenario:
-    """The same scenario, if its parts fit together; else ValidationError."""
-    faults = [
+    """The same scenario if its settings are consistent; else ValidationError."""
+    errors = [
         f"{where}: {name}: the low end lies above the high end"
-        for name, value in _ranges(scenario)
+        for name, value in _range_settings(scenario)
         if value[0] > value[1]
     ]
     names = {c.name for c in scenario.classes}
-    faults += [
+    errors += [
         f"{where}: faults[{i}].class_name: no class {f.class_name!r}; there are {', '.join(sorted(names))}"
         for i, f in enumerate(scenario.faults)
         if f.class_name and f.class_name not in names
     ]
     if len(names) < len(scenario.classes) or len({p.name for p in scenario.partners}) < len(scenario.partners):
-        faults.append(f"{where}: two classes or two partners of the same name")
+        errors.append(f"{where}: two classes or two partners of the same name")
     partners = {p.name for p in scenario.partners}
-    faults += [
+    errors += [
         f"{where}: faults[{i}].partner_name: no partner {f.partner_name!r}; there are {', '.join(sorted(partners))}"
         for i, f in enumerate(scenario.faults)
         if f.partner_name and f.partner_name not in partners
     ]
     if not scenario.fleet.rooms or not all(scenario.fleet.rooms):
-        faults.append(f"{where}: fleet.rooms: at least one, and none without a name")
+        errors.append(f"{where}: fleet.rooms: at least one, and none without a name")
     if sum(c.share for c in scenario.classes) <= 0 or sum(p.share for p in scenario.partners) <= 0:
-        faults.append(f"{where}: the shares of the classes, and those of the partners, must add up to more than 0")
+        errors.append(f"{where}: the shares of the classes, and those of the partners, must add up to more than 0")
     if scenario.load.rate * scenario.seconds > MAX_ASKS:
-        faults.append(f"{where}: load.rate x seconds is over {MAX_ASKS} asks")
-    if faults:
-        raise ValidationError(faults)
+        errors.append(f"{where}: load.rate x seconds is over {MAX_ASKS} asks")
+    if errors:
+        raise ValidationError(errors)
     return scenario
 
 
-def _ranges(scenario: Scenario) -> list[tuple[str, Range]]:
-    found = []
-    parts = [
+def _range_settings(scenario: Scenario) -> list[tuple[str, Range]]:
+    ranges = []
+    sections = [
         ("fleet.", scenario.fleet),
         ("callers.", scenario.callers),
         ("discovery.", scenario.discovery),
@@ -258,9 +259,9 @@
         *((f"faults[{i}].", f) for i, f in enumerate(scenario.faults)),
         *((f"partners[{i}].", p) for i, p in enumerate(scenario.partners)),
     ]
-    for prefix, part in parts:
-        for f in dataclasses.fields(part):  # type: ignore[arg-type]
-            value = getattr(part, f.name)
+    for prefix, section in sections:
+        for f in dataclasses.fields(section):  # type: ignore[arg-type]
+            value = getattr(section, f.name)
             if isinstance(value, tuple) and len(value) == 2 and isinstance(value[0], float):
-                found.append((prefix + f.name, value))
-    return found
+                ranges.append((prefix + f.name, value))
+    return ranges
