--- a/lanemux/rehearsal/rules.py
+++ b/lanemux/rehearsal/rules.py
@@ -1,10 +1,14 @@
-"""The rules' checker: what the books of boxes, callers and discovery prove against the balancers. No I/O.
+"""The rule checker: finds the violations that the records of boxes, callers and discovery prove. No I/O.
 
-It never takes a balancer's word, and where a book holds two ends of an instant it accuses only on the end that
-excuses. Rules (BRIEF, PROTOCOL): `lost` every request taken has one final answer in time, made for it; `twice`
-one attempt out at a time, and no repeat or refusal of what may have run unless its class allows it; `drain`
-nothing new to a box some time after its drain is told; `cold` no cold box is pushed over. Beside them `foreign`:
-boxes are sent nothing but what callers sent.
+It uses nothing that a balancer reports, and where the records hold bounds of a time it uses the bound that favours the
+balancer. Rules (BRIEF, PROTOCOL):
+
+- `lost`: every accepted request gets one final response in time, produced for it;
+- `twice`: one attempt in flight at a time, and what may have run is not repeated or refused unless its class allows it;
+- `drain`: nothing new is sent to a box from some time after its drain was announced;
+- `cold`: no cold box is overloaded until it falls over;
+- `foreign`: boxes receive nothing but what callers sent;
+- `deadline`: a box is given no more time than the client has left.
 """
 
 from __future__ import annotations
@@ -16,15 +20,15 @@
 from lanemux.rehearsal.plan import MS, Plan
 from lanemux.rehearsal.records import NEVER, Attempt, BoxRecords, CallerRecords, StateSpan, Told, Try
 
-LIMIT_GRACE_NS = 50 * MS  # each time limit is so much longer on sockets (PROTOCOL)
-LEFT_GRACE_NS = 100 * MS  # no attempt begins so long after its client has closed
-DEADLINE_SLACK_NS = 150 * MS  # an upstream may be told so much more time than the client has left
+LIMIT_GRACE_NS = 50 * MS  # added to each time limit on sockets (PROTOCOL)
+CLIENT_LEFT_GRACE_NS = 100 * MS  # no attempt may begin this long after its client disconnected
+DEADLINE_SLACK_NS = 150 * MS  # an upstream may be given this much more time than the client has left
 RULES = ("lost", "twice", "drain", "cold", "foreign", "deadline")
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule: when, whose request, at which box, and the events that prove it."""
+    """A violation of a rule: when, which request, at which box, and the events that prove it."""
 
     rule: str
     at_ns: int
@@ -34,62 +38,62 @@
 
 
 def find_violations(plan: Plan, boxes: BoxRecords, callers: CallerRecords) -> list[Violation]:
-    """All that the books prove, in order of time."""
+    """All violations that the records prove, in order of time."""
     names = [box.host for box in plan.boxes]
     by_id: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in boxes.attempts:
         by_id[attempt.id].append(attempt)
-    held_up_ns = int(plan.scenario.hold_up_ms * MS)
+    stall_ns = int(plan.scenario.hold_up_ms * MS)
     drain_grace_ns = int(plan.scenario.fleet.drain_grace_ms * MS) + LIMIT_GRACE_NS
-    found = [
+    violations = [
         *lost_requests(callers, by_id, names, callers.tries),
         *concurrent_attempts(by_id, names),
         *disallowed_repeats(plan, by_id, callers.tries),
-        *begun_for_nobody(by_id, names, callers.tries, LEFT_GRACE_NS + held_up_ns),
-        *deadlines(by_id, names, callers.tries, DEADLINE_SLACK_NS + held_up_ns),
+        *attempts_after_client_left(by_id, names, callers.tries, CLIENT_LEFT_GRACE_NS + stall_ns),
+        *excessive_deadlines(by_id, names, callers.tries, DEADLINE_SLACK_NS + stall_ns),
         *sends_after_drain(
             boxes.attempts,
             callers.told,
             callers.balancers_down,
             names,
-            max(drain_grace_ns, LIMIT_GRACE_NS + held_up_ns),
+            max(drain_grace_ns, LIMIT_GRACE_NS + stall_ns),
         ),
     ]
-    for oddity in (*boxes.anomalies, *callers.anomalies):
-        box = names[oddity.box] if oddity.box >= 0 else ""
-        found.append(Violation(oddity.rule, oddity.at_ns, oddity.id, box, oddity.what))
-    return sorted(found, key=lambda v: (v.at_ns, v.rule, v.request))
+    for anomaly in (*boxes.anomalies, *callers.anomalies):
+        box = names[anomaly.box] if anomaly.box >= 0 else ""
+        violations.append(Violation(anomaly.rule, anomaly.at_ns, anomaly.id, box, anomaly.what))
+    return sorted(violations, key=lambda v: (v.at_ns, v.rule, v.request))
 
 
 def violation_counts(violations: Iterable[Violation]) -> dict[str, int]:
-    """How often each rule was broken."""
-    sums = dict.fromkeys(RULES, 0)
+    """The number of violations of each rule."""
+    totals = dict.fromkeys(RULES, 0)
     for violation in violations:
-        sums[violation.rule] += 1
-    return sums
+        totals[violation.rule] += 1
+    return totals
 
 
-def _s(at_ns: int) -> str:
+def _format_s(at_ns: int) -> str:
     return f"{at_ns / 1e9:.4f} s"
 
 
 def lost_requests(
     callers: CallerRecords, by_id: Mapping[str, list[Attempt]], names: list[str], tries: Iterable[Try]
 ) -> Iterable[Violation]:
-    """These tries, where they had no answer in time, or one that no box made for them."""
+    """Tries without a response in time, or with one that no box produced for them."""
     for entry in tries:
-        if not entry.sent_ns or _was_down(entry, callers.balancers_down):
+        if not entry.sent_ns or _balancer_was_down(entry, callers.balancers_down):
             continue
-        where = f"sent to balancer {entry.balancer} at {_s(entry.sent_ns)}"
-        read = _read_before_crossing(entry, by_id)
-        if read is not None:
+        context = f"sent to balancer {entry.balancer} at {_format_s(entry.sent_ns)}"
+        read_attempt = _attempt_read_before_close(entry, by_id)
+        if read_attempt is not None:
             yield Violation(
                 "lost",
                 entry.crossed_ns,
                 entry.id,
-                names[read.box],
-                f"{where}; it was read, since {names[read.box]} had it at {_s(read.whole_ns)}, and its connection "
-                f"ended at {_s(entry.crossed_ns)} with no answer",
+                names[read_attempt.box],
+                f"{context}; it was read, since {names[read_attempt.box]} had it at "
+                f"{_format_s(read_attempt.whole_ns)}, and its connection ended at {_format_s(entry.crossed_ns)} with no answer",
             )
         if entry.how == "lost":
             yield Violation(
@@ -97,7 +101,7 @@
                 entry.end_ns,
                 entry.id,
                 "",
-                f"{where}; its connection ended at {_s(entry.end_ns)} with no whole answer",
+                f"{context}; its connection ended at {_format_s(entry.end_ns)} with no whole answer",
             )
         elif entry.how == "silent":
             yield Violation(
@@ -105,45 +109,46 @@
                 entry.end_ns,
                 entry.id,
                 "",
-                f"{where}, to be answered by {_s(entry.deadline_ns)}; nothing had come at {_s(entry.end_ns)}",
+                f"{context}, to be answered by {_format_s(entry.deadline_ns)}; "
+                f"nothing had come at {_format_s(entry.end_ns)}",
             )
         elif entry.how == "answered" and entry.status == 200:
-            made = [a for a in by_id.get(entry.id, []) if a.digest]
-            if entry.digest not in {a.digest for a in made}:
-                boxes = ", ".join(f"{names[a.box]} at {_s(a.end_ns)}" for a in made) or "no box"
+            produced = [a for a in by_id.get(entry.id, []) if a.digest]
+            if entry.digest not in {a.digest for a in produced}:
+                boxes = ", ".join(f"{names[a.box]} at {_format_s(a.end_ns)}" for a in produced) or "no box"
                 yield Violation(
                     "lost",
                     entry.end_ns,
                     entry.id,
                     "",
-                    f"{where}; the body served at "
-                    f"{_s(entry.end_ns)} was made by no box for it (made for it by {boxes})",
+                    f"{context}; the body served at "
+                    f"{_format_s(entry.end_ns)} was made by no box for it (made for it by {boxes})",
                 )
 
 
-def _read_before_crossing(entry: Try, by_id: Mapping[str, list[Attempt]]) -> Attempt | None:
-    """What proves that a balancer had read this request when it ended the connection between two requests."""
+def _attempt_read_before_close(entry: Try, by_id: Mapping[str, list[Attempt]]) -> Attempt | None:
+    """The attempt that proves that the balancer had read this request before it closed the idle connection."""
     if not entry.crossed_ns:
         return None
-    ours = (a for a in by_id.get(entry.id, ()) if a.balancer == entry.balancer)
-    return next((a for a in ours if a.whole_ns <= entry.crossed_ns), None)
+    own_attempts = (a for a in by_id.get(entry.id, ()) if a.balancer == entry.balancer)
+    return next((a for a in own_attempts if a.whole_ns <= entry.crossed_ns), None)
 
 
-def _was_down(entry: Try, down: list[StateSpan]) -> bool:
-    """Its balancer was killed while it held the request: that is the caller's to retry."""
+def _balancer_was_down(entry: Try, down: list[StateSpan]) -> bool:
+    """Whether its balancer was killed while handling the request; retrying is then up to the caller."""
     return any(
-        life.who == entry.balancer
-        and life.state == "down"
-        and life.from_ns <= entry.end_ns
-        and entry.sent_ns <= life.to_ns
-        for life in down
+        span.who == entry.balancer
+        and span.state == "down"
+        and span.from_ns <= entry.end_ns
+        and entry.sent_ns <= span.to_ns
+        for span in down
     )
 
 
-def begun_for_nobody(
+def attempts_after_client_left(
     by_id: Mapping[str, list[Attempt]], names: list[str], tries: Iterable[Try], grace_ns: int
 ) -> Iterable[Violation]:
-    """Attempts that began so long after their client had closed its connection."""
+    """Attempts that began more than the grace period after their client had disconnected."""
     for entry in tries:
         if entry.how != "left":
             continue
@@ -155,16 +160,16 @@
                     entry.id,
                     names[attempt.box],
                     (
-                        f"its client left at {_s(entry.end_ns)}; balancer {entry.balancer} began this no sooner than "
-                        f"{_s(attempt.first_lo_ns)}"
+                        f"its client left at {_format_s(entry.end_ns)}; balancer {entry.balancer} began this "
+                        f"no sooner than {_format_s(attempt.first_lo_ns)}"
                     ),
                 )
 
 
-def deadlines(
+def excessive_deadlines(
     by_id: Mapping[str, list[Attempt]], names: list[str], tries: Iterable[Try], slack_ns: int
 ) -> Iterable[Violation]:
-    """Attempts that told their upstream of more time than their client had left."""
+    """Attempts that gave their upstream more time than their client had left."""
     for entry in tries:
         for attempt in by_id.get(entry.id, ()):
             if attempt.told_ms and attempt.first_lo_ns + attempt.told_ms * MS > entry.deadline_ns + slack_ns:
@@ -174,59 +179,59 @@
                     entry.id,
                     names[attempt.box],
                     (
-                        f"told {attempt.told_ms} ms no sooner than {_s(attempt.first_lo_ns)}; its client waits until "
-                        f"{_s(entry.deadline_ns)}"
+                        f"told {attempt.told_ms} ms no sooner than {_format_s(attempt.first_lo_ns)}; "
+                        f"its client waits until {_format_s(entry.deadline_ns)}"
                     ),
                 )
 
 
 def concurrent_attempts(by_id: Mapping[str, list[Attempt]], names: list[str]) -> Iterable[Violation]:
-    """Attempts of one request that were out at once."""
-    for name, attempts in by_id.items():
+    """Attempts of one request that were in flight at the same time."""
+    for request, attempts in by_id.items():
         ordered = sorted(attempts, key=lambda a: a.whole_ns)
         for i, first in enumerate(ordered):
             for second in ordered[i + 1 :]:
-                # The first was still open when the second had come whole.
+                # The first was still open when the second had been received in full.
                 if first.open_ns > second.whole_ns and second.open_ns >= second.whole_ns:
                     yield Violation(
                         "twice",
                         second.whole_ns,
-                        name,
+                        request,
                         names[second.box],
                         (
-                            f"out at {names[first.box]} from {_s(first.whole_ns)} until after {_s(first.open_ns)} "
-                            f"({first.how}), and at {names[second.box]} from {_s(second.whole_ns)} ({second.how})"
+                            f"out at {names[first.box]} from {_format_s(first.whole_ns)} "
+                            f"until after {_format_s(first.open_ns)} ({first.how}), and at {names[second.box]} from {_format_s(second.whole_ns)} ({second.how})"
                         ),
                     )
                     break
 
 
 def disallowed_repeats(plan: Plan, by_id: Mapping[str, list[Attempt]], tries: Iterable[Try]) -> Iterable[Violation]:
-    """Requests that are not safe to repeat: sent again, or refused, though an attempt of theirs may have run."""
+    """Requests not safe to repeat that were sent again or refused although an attempt may have run."""
     classes = {c.name: c for c in plan.scenario.classes}
     for entry in tries:
-        cls = classes[plan.asks[entry.ask].class_name]
-        if cls.effect == "safe":
+        request_class = classes[plan.asks[entry.ask].class_name]
+        if request_class.effect == "safe":
             continue
         attempts = sorted(by_id.get(entry.id, ()), key=lambda a: a.whole_ns)
-        ran = next((a for a in attempts if a.how != "declined"), None)
-        if ran is None:
+        executed = next((a for a in attempts if a.how != "declined"), None)
+        if executed is None:
             continue
-        where = f"taken by {plan.boxes[ran.box].host} at {_s(ran.whole_ns)} ({ran.how})"
-        refusable = cls.effect == "keyed" and cls.scope == "all"
-        if entry.how == "answered" and entry.status in (429, 503) and not refusable:
+        context = f"taken by {plan.boxes[executed.box].host} at {_format_s(executed.whole_ns)} ({executed.how})"
+        may_refuse = request_class.effect == "keyed" and request_class.scope == "all"
+        if entry.how == "answered" and entry.status in (429, 503) and not may_refuse:
             yield Violation(
                 "twice",
                 entry.end_ns,
                 entry.id,
-                plan.boxes[ran.box].host,
-                f"{cls.effect}: {where}, and refused at {_s(entry.end_ns)}, as if it had not run",
+                plan.boxes[executed.box].host,
+                f"{request_class.effect}: {context}, and refused at {_format_s(entry.end_ns)}, as if it had not run",
             )
-        for later in attempts[attempts.index(ran) + 1 :]:
+        for later in attempts[attempts.index(executed) + 1 :]:
             allowed = (
-                cls.effect == "keyed"
-                and _same_group(plan, cls.scope, ran, later)
-                and later.first_lo_ns - ran.whole_ns <= cls.window_ms * MS + LIMIT_GRACE_NS
+                request_class.effect == "keyed"
+                and _in_dedup_scope(plan, request_class.scope, executed, later)
+                and later.first_lo_ns - executed.whole_ns <= request_class.window_ms * MS + LIMIT_GRACE_NS
             )
             if not allowed:
                 yield Violation(
@@ -235,49 +240,53 @@
                     entry.id,
                     plan.boxes[later.box].host,
                     (
-                        f"{cls.effect}, scope {cls.scope}: {where}, and sent again to {plan.boxes[later.box].host} at "
-                        f"{_s(later.whole_ns)}"
+                        f"{request_class.effect}, scope {request_class.scope}: {context}, "
+                        f"and sent again to {plan.boxes[later.box].host} at {_format_s(later.whole_ns)}"
                     ),
                 )
 
 
-def _same_group(plan: Plan, scope: str, first: Attempt, second: Attempt) -> bool:
-    """The second box drops what the first has done."""
+def _in_dedup_scope(plan: Plan, scope: str, first: Attempt, second: Attempt) -> bool:
+    """Whether the second box deduplicates what the first has executed."""
     a, b = plan.boxes[first.box], plan.boxes[second.box]
     return scope == "all" or (a.room == b.room and (scope == "zone" or a.cell == b.cell))
 
 
 def sends_after_drain(
-    attempts: list[Attempt], told: Iterable[Told], down: list[StateSpan], names: list[str], grace_ns: int
+    attempts: list[Attempt], updates: Iterable[Told], down: list[StateSpan], names: list[str], grace_ns: int
 ) -> Iterable[Violation]:
-    """Attempts that began so long after their box was told to drain or to be gone, surely before it was up again."""
-    closed: dict[tuple[int, int], list[tuple[int, int, str]]] = defaultdict(list)
-    for entry in sorted(told, key=lambda t: notified_at(t)):
-        spans, at = closed[entry.balancer, entry.box], notified_at(entry)
-        if entry.health == "up":
+    """Attempts that began later than the grace period after their box was reported draining or removed.
+
+    An attempt that may have begun after the box was reported up again does not count."""
+    closed_spans: dict[tuple[int, int], list[tuple[int, int, str]]] = defaultdict(list)
+    for update in sorted(updates, key=lambda update: notified_at(update)):
+        spans, at_ns = closed_spans[update.balancer, update.box], notified_at(update)
+        if update.health == "up":
             if spans and spans[-1][1] == NEVER:
-                spans[-1] = (spans[-1][0], at, spans[-1][2])
-        elif at < NEVER and (not spans or spans[-1][1] < NEVER):
-            spans.append((at, NEVER, entry.health))
+                spans[-1] = (spans[-1][0], at_ns, spans[-1][2])
+        elif at_ns < NEVER and (not spans or spans[-1][1] < NEVER):
+            spans.append((at_ns, NEVER, update.health))
     for attempt in attempts:
-        for from_ns, to_ns, health in closed.get((attempt.balancer, attempt.box), ()):
-            # A balancer that was started again since begins with the list that it was given then.
-            new = any(life.who == attempt.balancer and from_ns < life.to_ns <= attempt.first_lo_ns for life in down)
-            if from_ns + grace_ns < attempt.first_lo_ns and attempt.whole_ns < to_ns and not new:
+        for from_ns, to_ns, health in closed_spans.get((attempt.balancer, attempt.box), ()):
+            # A balancer restarted since then has started with a newer list.
+            restarted_since = any(
+                span.who == attempt.balancer and from_ns < span.to_ns <= attempt.first_lo_ns for span in down
+            )
+            if from_ns + grace_ns < attempt.first_lo_ns and attempt.whole_ns < to_ns and not restarted_since:
                 yield Violation(
                     "drain",
                     attempt.first_lo_ns,
                     attempt.id,
                     names[attempt.box],
                     (
-                        f"balancer {attempt.balancer} was told {health!r} at {_s(from_ns)} and sent this no sooner "
-                        f"than {_s(attempt.first_lo_ns)}, {(attempt.first_lo_ns - from_ns) / 1e6:.0f} ms later"
+                        f"balancer {attempt.balancer} was told {health!r} at {_format_s(from_ns)} and sent this "
+                        f"no sooner than {_format_s(attempt.first_lo_ns)}, {(attempt.first_lo_ns - from_ns) / 1e6:.0f} ms later"
                     ),
                 )
 
 
-def notified_at(told: Told) -> int:
-    """When it counts as told: written to the balancer, or some seconds after the agent had it."""
-    if told.written_ns < 0:
+def notified_at(update: Told) -> int:
+    """When an update counts as delivered: written to the balancer, or some seconds after the agent received it."""
+    if update.written_ns < 0:
         return -1
-    return min(told.written_ns or NEVER, told.due_ns or NEVER)
+    return min(update.written_ns or NEVER, update.due_ns or NEVER)
