--- a/lanemux/rehearsal/page.py
+++ b/lanemux/rehearsal/page.py
@@ -177,8 +177,12 @@
     points = time_series(run.plan, run.boxes, run.callers)
     figure = go.Figure()
     xs = [p.at_s for p in points]
-    figure.add_bar(x=xs, y=[p.untried for p in points], name="refused, no attempt", marker={"color": "#dd9b1f"})
-    figure.add_bar(x=xs, y=[p.tried for p in points], name="refused after an attempt", marker={"color": "#8a6d3b"})
+    figure.add_bar(
+        x=xs, y=[p.refused_before_attempt for p in points], name="refused, no attempt", marker={"color": "#dd9b1f"}
+    )
+    figure.add_bar(
+        x=xs, y=[p.refused_after_attempt for p in points], name="refused after an attempt", marker={"color": "#8a6d3b"}
+    )
     figure.add_bar(x=xs, y=[p.failed for p in points], name="failed", marker={"color": "#805ad5"})
     figure.add_bar(x=xs, y=[p.unanswered for p in points], name="no answer", marker={"color": "#c53030"})
     figure.update_layout(barmode="stack", height=300)
--- a/lanemux/rehearsal/rules.py
+++ b/lanemux/rehearsal/rules.py
@@ -93,7 +93,8 @@
                 entry.id,
                 names[read_attempt.box],
                 f"{context}; it was read, since {names[read_attempt.box]} had it at "
-                f"{_format_s(read_attempt.whole_ns)}, and its connection ended at {_format_s(entry.crossed_ns)} with no answer",
+                f"{_format_s(read_attempt.whole_ns)}, and its connection "
+                f"ended at {_format_s(entry.crossed_ns)} with no answer",
             )
         if entry.how == "lost":
             yield Violation(
@@ -200,7 +201,8 @@
                         names[second.box],
                         (
                             f"out at {names[first.box]} from {_format_s(first.whole_ns)} "
-                            f"until after {_format_s(first.open_ns)} ({first.how}), and at {names[second.box]} from {_format_s(second.whole_ns)} ({second.how})"
+                            f"until after {_format_s(first.open_ns)} ({first.how}), "
+                            f"and at {names[second.box]} from {_format_s(second.whole_ns)} ({second.how})"
                         ),
                     )
                     break
@@ -280,7 +282,8 @@
                     names[attempt.box],
                     (
                         f"balancer {attempt.balancer} was told {health!r} at {_format_s(from_ns)} and sent this "
-                        f"no sooner than {_format_s(attempt.first_lo_ns)}, {(attempt.first_lo_ns - from_ns) / 1e6:.0f} ms later"
+                        f"no sooner than {_format_s(attempt.first_lo_ns)}, "
+                        f"{(attempt.first_lo_ns - from_ns) / 1e6:.0f} ms later"
                     ),
                 )
 
