--- a/lanemux/rehearsal/page.py
+++ b/lanemux/rehearsal/page.py
@@ -1,6 +1,6 @@
-"""One self-contained page of a run: plots over time in which a broken rule can be found by eye.
+"""Renders a run as one self-contained HTML page, with plots over time in which violations can be located.
 
-Needs the extra `rehearsal` (plotly); imported only when a page is asked for.
+Needs the extra `rehearsal` (plotly); imported only when a page is requested.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from lanemux.rehearsal.run import Run
 from lanemux.rehearsal.service import time_series
 
-STATES = {
+STATE_COLOURS = {
     "frozen": "#2b6cb0",
     "shared": "#b7b7b7",
     "cold": "#38b2ac",
@@ -26,7 +26,7 @@
     "down": "#4a4a4a",
     "fallen": "#c53030",
 }
-MEANING = {
+STATE_LABELS = {
     "frozen": "frozen",
     "shared": "shared with another program",
     "cold": "cold",
@@ -35,10 +35,10 @@
     "down": "down",
     "fallen": "pushed over",
 }
-SMOOTH = 4  # half seconds over which the service is averaged: single ones hold a few asks of a class
+SMOOTHING_BINS = 4  # half seconds averaged in the service plot: one alone has only a few asks per class
 SAMPLE_NS = int(SAMPLE_S * SECOND)
-ROW_PX = 16  # of a box
-MARKED = 300  # violations drawn; the table has their number
+BOX_ROW_PX = 16  # height of a box's row
+MAX_MARKED = 300  # violations drawn and listed; the table has the total
 STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; margin: 0 auto; padding: 12px; max-width: 1240px; color: #222; }
 pre { overflow-x: auto; background: #f5f5f3; padding: 10px; font-size: 13px; }
@@ -48,23 +48,23 @@
 
 
 def as_html(run: Run, name: str) -> str:
-    """The page: table, plots, violations. No part of it is loaded from elsewhere."""
+    """The page: table, plots and violations. It loads nothing from elsewhere."""
     plots = [
         (
             "Service by class",
             "Worth answered within the aim over worth asked, two seconds together, by when it was asked.",
-            _service(run),
+            _service_plot(run),
         ),
         (
             "Boxes",
             "What each box held (darker: more) and its states; a cross is a broken rule, at its box or, where "
             "it has none, on top.",
-            _boxes(run),
+            _boxes_plot(run),
         ),
-        ("How tries ended", "Tries of callers that were not served, each half second, by cause.", _ends(run)),
-        ("Attempts", "What the boxes were sent, beside what callers asked for, a second.", _attempts(run)),
+        ("How tries ended", "Tries of callers that were not served, each half second, by cause.", _failures_plot(run)),
+        ("Attempts", "What the boxes were sent, beside what callers asked for, a second.", _attempts_plot(run)),
     ]
-    parts = []
+    sections = []
     for i, (title, text, figure) in enumerate(plots):
         figure.update_layout(
             template="plotly_white",
@@ -78,39 +78,39 @@
         plot = figure.to_html(
             full_html=False, include_plotlyjs=not i, config={"responsive": True, "displayModeBar": False}
         )
-        parts.append(f"<h2>{title}</h2>\n<p>{text}</p>\n{plot}")
-    rows = "\n".join(
+        sections.append(f"<h2>{title}</h2>\n<p>{text}</p>\n{plot}")
+    violation_items = "\n".join(
         f"<li><b>{v.rule}</b> at {v.at_ns / SECOND:.3f} s, request {html.escape(v.request or '-')}, box "
         f"{html.escape(v.box or '-')}: {html.escape(v.proof)}</li>"
-        for v in run.violations[:MARKED]
+        for v in run.violations[:MAX_MARKED]
     )
     title = html.escape(f"{name}, seed {run.plan.seed}")
     return (
         f'<!doctype html>\n<html lang="en"><head><meta charset="utf-8"><title>{title}</title>\n'
         f'<meta name="viewport" content="width=device-width, initial-scale=1"><style>{STYLE}</style></head>\n'
-        f"<body><h1>{title}</h1>\n<pre>{html.escape(as_text(run, name))}</pre>\n{''.join(parts)}\n"
-        f"<h2>Broken rules: {len(run.violations)}</h2>\n<ol>{rows}</ol>\n</body></html>\n"
+        f"<body><h1>{title}</h1>\n<pre>{html.escape(as_text(run, name))}</pre>\n{''.join(sections)}\n"
+        f"<h2>Broken rules: {len(run.violations)}</h2>\n<ol>{violation_items}</ol>\n</body></html>\n"
     )
 
 
-def _service(run: Run) -> Any:
+def _service_plot(run: Run) -> Any:
     points = time_series(run.plan, run.boxes, run.callers)
     figure = go.Figure()
-    for cls in run.plan.scenario.classes:
+    for request_class in run.plan.scenario.classes:
         xs, ys = [], []
-        for i in range(len(points) - SMOOTH + 1):
-            asked = sum(p.asked[cls.name] for p in points[i : i + SMOOTH])
+        for i in range(len(points) - SMOOTHING_BINS + 1):
+            asked = sum(p.asked[request_class.name] for p in points[i : i + SMOOTHING_BINS])
             if asked:
-                xs.append(points[i].at_s + SMOOTH / 4)
-                ys.append(sum(p.earned[cls.name] for p in points[i : i + SMOOTH]) / asked)
-        figure.add_scatter(x=xs, y=ys, name=cls.name, mode="lines")
+                xs.append(points[i].at_s + SMOOTHING_BINS / 4)
+                ys.append(sum(p.earned[request_class.name] for p in points[i : i + SMOOTHING_BINS]) / asked)
+        figure.add_scatter(x=xs, y=ys, name=request_class.name, mode="lines")
     figure.update_yaxes(range=[0, 1.03])
     figure.update_layout(height=320)
     return figure
 
 
-def _boxes(run: Run) -> Any:
-    """A row for each box: a heat map of what it held, its states as bars over it, broken rules as crosses."""
+def _boxes_plot(run: Run) -> Any:
+    """A row for each box: a heat map of its requests, bars for its states, crosses for violations."""
     names = [box.host for box in run.plan.boxes]
     columns = int(run.plan.scenario.seconds * SECOND) // SAMPLE_NS + 1
     held: list[list[float | None]] = [[None] * columns for _ in names]
@@ -131,38 +131,38 @@
         )
     )
     spans: dict[str, list[tuple[int, float, float]]] = defaultdict(list)
-    for life in run.boxes.state_spans:
-        whole_ns = int(run.plan.scenario.seconds * SECOND)
-        if life.from_ns < whole_ns:
-            end = min(life.to_ns, whole_ns)
-            spans[life.state].append((life.who, max(0, life.from_ns) / SECOND, end / SECOND))
-    for state, colour in STATES.items():
+    for span in run.boxes.state_spans:
+        length_ns = int(run.plan.scenario.seconds * SECOND)
+        if span.from_ns < length_ns:
+            end = min(span.to_ns, length_ns)
+            spans[span.state].append((span.who, max(0, span.from_ns) / SECOND, end / SECOND))
+    for state, colour in STATE_COLOURS.items():
         if spans[state]:
-            # A thin bar for what lasts and a full one for a freeze, so that none hides another.
+            # Thin bars for long states and full ones for freezes and falls, so that none hides another.
             figure.add_bar(
                 y=[n for n, _, _ in spans[state]],
                 base=[a for _, a, _ in spans[state]],
                 x=[b - a for _, a, b in spans[state]],
                 orientation="h",
-                name=MEANING[state],
+                name=STATE_LABELS[state],
                 marker={"color": colour},
                 width=0.85 if state in ("frozen", "fallen") else 0.3,
                 opacity=0.85,
-                hovertemplate=f"{MEANING[state]} from %{{base:.2f}} s<extra></extra>",
+                hovertemplate=f"{STATE_LABELS[state]} from %{{base:.2f}} s<extra></extra>",
             )
-    marks = run.violations[:MARKED]
-    rows = {name: i for i, name in enumerate(names)}  # numbers, as a category without data stops the drawing
-    if marks:
+    marked = run.violations[:MAX_MARKED]
+    row_of_box = {name: i for i, name in enumerate(names)}  # not a category axis: it fails where a row has no data
+    if marked:
         figure.add_scatter(
-            x=[v.at_ns / SECOND for v in marks],
-            y=[rows.get(v.box, len(names)) for v in marks],
+            x=[v.at_ns / SECOND for v in marked],
+            y=[row_of_box.get(v.box, len(names)) for v in marked],
             mode="markers",
             name="broken rule",
-            text=[f"{v.rule}: {html.escape(v.proof)}" for v in marks],
+            text=[f"{v.rule}: {html.escape(v.proof)}" for v in marked],
             hovertemplate="%{text}<extra></extra>",
             marker={"symbol": "x", "size": 11, "color": "#e53e3e", "line": {"color": "#ffffff", "width": 1}},
         )
-    figure.update_layout(barmode="overlay", height=140 + ROW_PX * (len(names) + 1))
+    figure.update_layout(barmode="overlay", height=140 + BOX_ROW_PX * (len(names) + 1))
     figure.update_yaxes(
         tickvals=list(range(len(names) + 1)),
         ticktext=[*names, "no box"],
@@ -173,7 +173,7 @@
     return figure
 
 
-def _ends(run: Run) -> Any:
+def _failures_plot(run: Run) -> Any:
     points = time_series(run.plan, run.boxes, run.callers)
     figure = go.Figure()
     xs = [p.at_s for p in points]
@@ -189,7 +189,7 @@
     return figure
 
 
-def _attempts(run: Run) -> Any:
+def _attempts_plot(run: Run) -> Any:
     points = time_series(run.plan, run.boxes, run.callers)
     figure = go.Figure()
     xs = [p.at_s for p in points]
