--- a/tests/rehearsal/test_broken.py
+++ b/tests/rehearsal/test_broken.py
@@ -1,7 +1,7 @@
-"""Whole rehearsals: the healthy build breaks no rule, and each broken build is caught by what it breaks.
+"""Complete rehearsals: the healthy build violates no rule, and each broken build is caught by its defect.
 
-A machine that is too busy makes a run not valid: then nothing is claimed of figures or of the healthy build,
-while what the books prove against a broken one is proof all the same.
+A machine that is too busy makes a run not valid: then figures and the healthy build are not judged, but violations
+that the records of a broken build prove still count.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent.parent
-ABREAST = max(1, (os.cpu_count() or 1) // 2)  # runs beside one another: each keeps some two cores busy in part
+CONCURRENT_RUNS = max(1, (os.cpu_count() or 1) // 2)  # each run keeps about two cores partly busy
 TIMEOUT_S = 90
-BRIEF = ("--seconds", "5")  # for builds that break a rule at every hundredth request
+SHORT_RUN = ("--seconds", "5")  # enough for builds that violate a rule on every hundredth request
 
 HEALTHY = (
     "calm-short",
@@ -76,30 +76,30 @@
 
 
 def play(folder: Path, scenario: str, build: str = "", seed: int = 1) -> Played:
-    """One rehearsal from the command line, of a scenario by its name or of LOSSES."""
-    words = ["rehearse", scenario]
+    """Run one rehearsal from the command line, of a named scenario or of LOSSES."""
+    arguments = ["rehearse", scenario]
     if scenario == "losses":
-        words[1] = str(folder / "losses.toml")
-        Path(words[1]).write_text(LOSSES)
-    brief = BRIEF if scenario == "friday-rush-short" and build in {b for b, _, _ in BY_RULE} else ()
+        arguments[1] = str(folder / "losses.toml")
+        Path(arguments[1]).write_text(LOSSES)
+    length = SHORT_RUN if scenario == "friday-rush-short" and build in {b for b, _, _ in BY_RULE} else ()
     path = folder / f"{build or 'healthy'}-{scenario}-{seed}.json"
     program = ["--program", f"{sys.executable} -m tests.rehearsal.broken.{build}"] if build else []
-    ended = subprocess.run(
-        [sys.executable, "-m", "lanemux", *words, "--seed", str(seed), "--json", str(path), *program, *brief],
+    process = subprocess.run(
+        [sys.executable, "-m", "lanemux", *arguments, "--seed", str(seed), "--json", str(path), *program, *length],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
     )
-    assert path.is_file(), ended.stderr
-    return Played(ended.returncode, json.loads(path.read_text()), ended.stdout)
+    assert path.is_file(), process.stderr
+    return Played(process.returncode, json.loads(path.read_text()), process.stdout)
 
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str], Played]:
     folder = tmp_path_factory.mktemp("rehearsals")
     pairs = [("", name) for name in (*HEALTHY, "losses")] + [(build, name) for build, name, _ in (*BY_RULE, *BY_FIGURE)]
-    with ThreadPoolExecutor(ABREAST) as pool:
+    with ThreadPoolExecutor(CONCURRENT_RUNS) as pool:
         return dict(zip(pairs, pool.map(lambda pair: play(folder, pair[1], pair[0]), pairs), strict=True))
 
 
@@ -115,7 +115,7 @@
 
 def test_what_a_killed_balancer_held_is_its_callers_to_retry(played: dict[tuple[str, str], Played]) -> None:
     run = played["", "losses"]
-    assert run.report["unreached"] > 0, run.text  # callers met the dead one
+    assert run.report["unreached"] > 0, run.text  # callers tried the dead balancer
     if run.report["valid"]:
         assert run.status == 0 and run.report["service"] > 0.4, run.text
 
@@ -142,19 +142,19 @@
 
 def test_the_same_seed_plays_the_same_plan(played: dict[tuple[str, str], Played]) -> None:
     rush = [run.report["digest"] for (_, name), run in played.items() if name == "friday-rush-short"]
-    assert len(set(rush)) == 2  # one when played whole, one when played briefly
+    assert len(set(rush)) == 2  # one of full runs, one of short runs
     assert len({run.report["digest"] for run in played.values()}) == 2 + len(HEALTHY)  # with losses
 
 
 def test_a_program_that_does_not_start_is_bad_use() -> None:
-    ended = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "lanemux", "rehearse", "calm-short", "--program", "false"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
     )
-    assert ended.returncode == 2 and "did not become ready" in ended.stderr
+    assert process.returncode == 2 and "did not become ready" in process.stderr
 
 
 def test_a_balancer_that_ends_by_itself_fails_the_run(tmp_path: Path) -> None:
@@ -162,7 +162,7 @@
     program = tmp_path / "dies.py"
     program.write_text(start + "import sys\nfrom lanemux.net import daemon\nsys.exit(daemon.main())\n")
     path = tmp_path / "report.json"
-    ended = subprocess.run(
+    process = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -184,17 +184,17 @@
         timeout=TIMEOUT_S,
     )
     report = json.loads(path.read_text())
-    assert report["crashes"] and ended.returncode == (1 if report["valid"] else 3)
+    assert report["crashes"] and process.returncode == (1 if report["valid"] else 3)
 
 
 @pytest.mark.parametrize("by", [signal.SIGTERM, signal.SIGINT])
 def test_a_rehearsal_that_is_ended_leaves_nobody_behind(tmp_path: Path, by: signal.Signals) -> None:
-    program = tmp_path / "known.py"  # a balancer that tells its number
+    program = tmp_path / "known.py"  # a balancer that reveals its process id
     program.write_text(
         "import os, pathlib, sys\nfrom lanemux.net import daemon\n"
         f"pathlib.Path({str(tmp_path)!r}, f'{{os.getpid()}}.pid').touch()\nsys.exit(daemon.main())\n"
     )
-    kit = subprocess.Popen(
+    rehearsal = subprocess.Popen(
         [
             sys.executable,
             "-m",
@@ -214,18 +214,18 @@
         text=True,
     )
     while len(balancers := [int(p.stem) for p in tmp_path.glob("*.pid")]) < 2:
-        assert kit.poll() is None, kit.communicate()
+        assert rehearsal.poll() is None, rehearsal.communicate()
         time.sleep(0.01)
-    kit.send_signal(by)
-    _, errors = kit.communicate(timeout=TIMEOUT_S)
-    assert kit.returncode == 128 + by and by.name in errors, errors
+    rehearsal.send_signal(by)
+    _, errors = rehearsal.communicate(timeout=TIMEOUT_S)
+    assert rehearsal.returncode == 128 + by and by.name in errors, errors
     for pid in balancers:
         with pytest.raises(ProcessLookupError):
             os.kill(pid, 0)
 
 
 def test_a_busy_machine_makes_the_run_not_valid_and_nobody_guilty(tmp_path: Path) -> None:
-    # Twice as many busy processes as cores: one a core is told from an idle machine too, by less.
+    # Two busy processes per core: one per core is also detected, but by a smaller margin.
     busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(2 * (os.cpu_count() or 1))]
     try:
         run = play(tmp_path, "calm-short")
--- a/tests/rehearsal/test_process_monitor.py
+++ b/tests/rehearsal/test_process_monitor.py
@@ -1,4 +1,4 @@
-"""Looks at hundreds of processes do not hold up the loop that the callers run in."""
+"""Sampling hundreds of processes must not stall the event loop in which the callers run."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from lanemux.rehearsal.process_monitor import PROCESSES_PER_TURN, ProcessMonitor
 from lanemux.rehearsal.records import CallerRecords
 
-MANY = 12 * PROCESSES_PER_TURN
+MANY_PROCESSES = 12 * PROCESSES_PER_TURN
 
 
-def test_a_look_at_many_processes_leaves_the_loop_its_turns() -> None:
+def test_sampling_many_processes_lets_the_event_loop_run_other_tasks() -> None:
     async def test() -> int:
         turns = 0
 
@@ -22,23 +22,23 @@
                 await asyncio.sleep(0)
 
         task = asyncio.create_task(other())
-        await ProcessMonitor(CallerRecords()).sample([], [os.getpid()] * MANY, record_waits=True)
+        await ProcessMonitor(CallerRecords()).sample([], [os.getpid()] * MANY_PROCESSES, record_waits=True)
         task.cancel()
         return turns
 
-    assert asyncio.run(test()) >= MANY // PROCESSES_PER_TURN
+    assert asyncio.run(test()) >= MANY_PROCESSES // PROCESSES_PER_TURN
 
 
-def test_a_balancer_that_computes_shows_and_one_that_is_gone_does_not() -> None:
+def test_a_busy_balancer_is_recorded_and_an_exited_one_is_ignored() -> None:
     async def test() -> CallerRecords:
-        books = CallerRecords()
-        monitor = ProcessMonitor(books)
+        records = CallerRecords()
+        monitor = ProcessMonitor(records)
         for _ in range(2):
             await monitor.sample([], [os.getpid(), 0], record_waits=True)
             sum(range(2_000_000))
         await monitor.sample([], [os.getpid(), 0], record_waits=True)
-        return books
+        return records
 
-    books = asyncio.run(test())
-    assert books.busiest_share > 0.5
-    assert books.descriptors_most > 0 and books.memory_most_mb > 1
+    records = asyncio.run(test())
+    assert records.busiest_share > 0.5
+    assert records.descriptors_most > 0 and records.memory_most_mb > 1
--- a/tests/rehearsal/test_pure.py
+++ b/tests/rehearsal/test_pure.py
@@ -1,4 +1,4 @@
-"""The kit's models, plan, figures and framing, without sockets."""
+"""The rehearsal's box model, plan, figures and HTTP framing, without sockets."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from lanemux.validation import ValidationError
 
 BOX = Box("q-1", "woodbrook", 0, "box-a", 0, 1.0, 2, 0.0, 100.0, 0.31, 8 * SECOND, 10**18, 0.0, 2 * MS, 0, 0, 1)
-MEAN = 75 * MS
+MEAN_WORK_NS = 75 * MS
 
 
-def model(cold: bool = False, **fleet: float) -> BoxModel:
+def box_model(cold: bool = False, **fleet: float) -> BoxModel:
     return BoxModel(BOX, Fleet(full_tax=0.0, **fleet), 0, cold)  # type: ignore[arg-type]
 
 
 # ---- a box ---------------------------------------------------------------------------------------------
 
 
-def test_a_box_works_one_at_a_time_queues_two_and_turns_the_rest_away() -> None:
-    box = model()
-    jobs = [box.offer(100 * MS, MEAN) for _ in range(4)]
+def test_a_box_processes_one_request_queues_two_and_declines_the_rest() -> None:
+    box = box_model()
+    jobs = [box.offer(100 * MS, MEAN_WORK_NS) for _ in range(4)]
     assert [job is not None for job in jobs] == [True, True, True, False]
     assert (box.report().inflight, box.report().queue) == (3, 2)
     assert box.advance(100 * MS + 1) == [jobs[0]]
@@ -41,9 +41,9 @@
     assert box.next_ns() is None
 
 
-def test_while_it_is_frozen_no_work_is_done_and_the_report_stays() -> None:
-    box = model()
-    job = box.offer(50 * MS, MEAN)
+def test_a_frozen_box_does_no_work_and_its_report_does_not_change() -> None:
+    box = box_model()
+    job = box.offer(50 * MS, MEAN_WORK_NS)
     assert box.report().inflight == 1
     box.advance(20 * MS)
     box.freeze(260 * MS)
@@ -52,15 +52,15 @@
     assert box.advance(290 * MS + 1) == [job]
 
 
-def test_a_neighbour_takes_its_share() -> None:
-    box = model()
+def test_a_neighbour_process_takes_its_share_of_the_cpu() -> None:
+    box = box_model()
     box.stolen = 0.5
-    job = box.offer(50 * MS, MEAN)
+    job = box.offer(50 * MS, MEAN_WORK_NS)
     assert box.advance(99 * MS) == [] and box.advance(101 * MS) == [job]
 
 
-def test_a_cold_box_begins_at_its_share_and_is_warm_in_time() -> None:
-    box = model(cold=True)
+def test_a_cold_box_starts_at_reduced_capacity_and_warms_up_in_time() -> None:
+    box = box_model(cold=True)
     assert box.warmth() == 0.31
     box.advance(4 * SECOND)
     assert box.warmth() == pytest.approx(0.655)
@@ -68,46 +68,46 @@
     assert box.warmth() == 1.0 and not box.cold
 
 
-def test_a_cold_box_falls_over_when_it_is_sent_too_much_within_the_window_and_only_then() -> None:
-    # 2.5 x 0.31 x 1.5 s and the slack: 1.31 s of work at once.
-    box = model(cold=True)
+def test_only_a_cold_box_that_is_sent_too_much_within_the_window_falls_over() -> None:
+    # The budget is 2.5 x 0.31 x 1.5 s plus the slack: 1.31 s of work at once.
+    box = box_model(cold=True)
     for _ in range(17):
-        box.offer(75 * MS, MEAN)
+        box.offer(75 * MS, MEAN_WORK_NS)
     assert not box.fallen and 0.9 < box.pushed_most < 1
-    box.offer(75 * MS, MEAN)  # turned away, and a push all the same
+    box.offer(75 * MS, MEAN_WORK_NS)  # declined, but it counts against the budget all the same
     assert box.fallen
-    spread = model(cold=True)
+    spread = box_model(cold=True)
     for i in range(60):
         spread.advance(i * 100 * MS)
-        spread.offer(75 * MS, MEAN)
+        spread.offer(75 * MS, MEAN_WORK_NS)
     assert not spread.fallen
-    warm = model()
+    warm = box_model()
     for _ in range(60):
-        warm.offer(75 * MS, MEAN)
+        warm.offer(75 * MS, MEAN_WORK_NS)
     assert not warm.fallen
 
 
-def test_one_heavy_request_alone_pushes_nobody_over() -> None:
-    box = model(cold=True)
-    box.offer(29 * MEAN, MEAN)
+def test_one_heavy_request_alone_does_not_make_a_box_fall_over() -> None:
+    box = box_model(cold=True)
+    box.offer(29 * MEAN_WORK_NS, MEAN_WORK_NS)
     assert not box.fallen
 
 
-def test_a_cancel_leaves_running_work_and_drops_waiting_work_only_on_some_days() -> None:
+def test_a_cancel_keeps_running_work_and_drops_queued_work_only_if_configured() -> None:
     for drops in (False, True):
-        box = dataclasses.replace(model(), cancels_queued=drops)
-        first, second = box.offer(50 * MS, MEAN), box.offer(50 * MS, MEAN)
+        box = dataclasses.replace(box_model(), cancels_queued=drops)
+        first, second = box.offer(50 * MS, MEAN_WORK_NS), box.offer(50 * MS, MEAN_WORK_NS)
         assert first is not None and second is not None
         box.cancel(first)
         box.cancel(second)
         assert len(box.running) == 1 and len(box.queue) == (0 if drops else 1)
 
 
-def test_a_draining_box_turns_new_work_away_and_finishes_what_it_has() -> None:
-    box = model()
-    job = box.offer(50 * MS, MEAN)
+def test_a_draining_box_declines_new_work_and_finishes_its_current_work() -> None:
+    box = box_model()
+    job = box.offer(50 * MS, MEAN_WORK_NS)
     box.draining = True
-    assert box.offer(50 * MS, MEAN) is None
+    assert box.offer(50 * MS, MEAN_WORK_NS) is None
     assert box.advance(51 * MS) == [job]
 
 
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(_scenario_titles("")))
-def test_every_scenario_of_the_kit_is_sound_and_its_plan_the_same_in_any_process(name: str) -> None:
+def test_every_bundled_scenario_is_valid_and_its_plan_the_same_in_any_process(name: str) -> None:
     scenario = find_scenario(name)
     if not name.endswith("-short"):
         scenario = dataclasses.replace(scenario, seconds=min(scenario.seconds, 12.0))
@@ -123,33 +123,33 @@
     assert len(plan.asks) > 50 and all(a.at_ns <= b.at_ns for a, b in zip(plan.asks, plan.asks[1:], strict=False))
     assert len({i for a in plan.asks for i in a.ids}) == sum(len(a.ids) for a in plan.asks)
     assert plan.digest() != draw_plan(scenario, 8).digest()
-    told = {n.box for n in plan.notices if n.health == "up"}
-    assert told == {h.who for h in plan.happenings if h.what in ("start", "return")}
+    started = {n.box for n in plan.notices if n.health == "up"}
+    assert started == {h.who for h in plan.happenings if h.what in ("start", "return")}
     if name == "month-end-short":
-        look = (
+        program = (
             "from lanemux.rehearsal.command import find_scenario\nfrom lanemux.rehearsal.plan import draw_plan\n"
             f"print(draw_plan(find_scenario({name!r}), 7).digest())"
         )
-        other = subprocess.run(
-            [sys.executable, "-c", look], capture_output=True, text=True, check=True, env={"PYTHONHASHSEED": "12345"}
+        other_process = subprocess.run(
+            [sys.executable, "-c", program], capture_output=True, text=True, check=True, env={"PYTHONHASHSEED": "12345"}
         )
-        assert other.stdout.strip() == plan.digest()
+        assert other_process.stdout.strip() == plan.digest()
 
 
-def test_friday_freezes_the_stated_part_for_the_stated_times() -> None:
+def test_friday_rush_freezes_the_configured_share_for_the_configured_times() -> None:
     plan = draw_plan(find_scenario("friday-rush"), 3)
     freezes = [h for h in plan.happenings if h.what == "freeze"]
     assert 0.35 * 40 - 1 <= len({h.who for h in freezes}) <= 0.41 * 40 + 1
     assert all(66 * MS <= h.until_ns - h.at_ns <= 240 * MS for h in freezes)
 
 
-def test_month_end_replaces_almost_all_boxes_and_kills_a_quarter_together() -> None:
+def test_month_end_replaces_almost_all_boxes_and_kills_a_quarter_at_once() -> None:
     plan = draw_plan(find_scenario("month-end"), 3)
     drained = {h.who for h in plan.happenings if h.what == "drain"}
     assert len(drained) == 12 and len(plan.boxes) == 24
     died = [h for h in plan.happenings if h.what == "die" and h.who not in drained]
     assert len(died) == 3 and len({h.at_ns for h in died}) == 1
-    for box in drained:  # told that it drains before it is told that it is gone
+    for box in drained:  # reported draining before it is reported removed
         at = {n.health: n.at_ns for n in plan.notices if n.box == box}
         assert at["draining"] <= at["removed"]
 
@@ -168,7 +168,7 @@
         ('title = "x"\nseconds = 3600\n[load]\nrate = 5000', "over 200000 asks"),
     ],
 )
-def test_a_bad_scenario_is_told_with_file_key_and_what_is_allowed(text: str, fault: str) -> None:
+def test_errors_of_a_scenario_name_the_file_the_key_and_what_is_allowed(text: str, fault: str) -> None:
     with pytest.raises(ValidationError) as caught:
         read_scenario(text, "my.toml")
     assert len(caught.value.faults) == 1 and fault in caught.value.faults[0]
@@ -178,70 +178,70 @@
 # ---- figures -------------------------------------------------------------------------------------------
 
 
-def played(*ends: tuple[int, int, int, float]) -> tuple[Scenario, CallerRecords]:
-    """Books of tries (ask, number, status, ms after the ask was due) of a plan with seed 1."""
+def records_of_tries(*ends: tuple[int, int, int, float]) -> tuple[Scenario, CallerRecords]:
+    """Records of tries (ask, number, status, ms after the ask was due) of a plan with seed 1."""
     scenario = dataclasses.replace(find_scenario("calm-short"), seconds=2.0, warm_up_s=0.0)
-    plan, books = draw_plan(scenario, 1), CallerRecords()
+    plan, records = draw_plan(scenario, 1), CallerRecords()
     for ask, number, status, after_ms in ends:
-        row = plan.asks[ask]
-        books.tries.append(
+        ask_row = plan.asks[ask]
+        records.tries.append(
             Try(
                 ask,
                 number,
-                row.ids[number],
+                ask_row.ids[number],
                 number,
                 "/",
-                sent_ns=row.at_ns,
-                end_ns=row.at_ns + int(after_ms * MS),
+                sent_ns=ask_row.at_ns,
+                end_ns=ask_row.at_ns + int(after_ms * MS),
                 how="answered",
                 status=status,
-                deadline_ns=row.at_ns + row.try_ns,
+                deadline_ns=ask_row.at_ns + ask_row.try_ns,
             )
         )
-    return scenario, books
+    return scenario, records
 
 
 def test_a_retry_is_counted_with_its_first_try_whichever_balancer_answers() -> None:
     # Refused by balancer 0, served by balancer 1 within the aim of the first try: one ask, one worth.
-    scenario, books = played((0, 0, 503, 20), (0, 1, 200, 250), (1, 0, 503, 20), (1, 1, 200, 270))
-    rows = {r.ask.number: r for r in ask_results(draw_plan(scenario, 1), books.tries)}
+    scenario, records = records_of_tries((0, 0, 503, 20), (0, 1, 200, 250), (1, 0, 503, 20), (1, 1, 200, 270))
+    rows = {r.ask.number: r for r in ask_results(draw_plan(scenario, 1), records.tries)}
     assert rows[0].in_time and not rows[1].in_time  # 270 ms: within the aim of the retry, not of the ask
-    found = compute_figures(draw_plan(scenario, 1), BoxRecords(), books)
+    found = compute_figures(draw_plan(scenario, 1), BoxRecords(), records)
     assert (found.asked, found.answered_in_time, found.tries) == (len(rows), 1, 4)
     assert found.service == pytest.approx(rows[0].worth / sum(r.worth for r in rows.values()))
 
 
-def test_a_refusal_is_held_from_the_end_of_its_last_attempt_and_not_from_the_asking() -> None:
-    # Half of the refusals come late because an attempt was cut off at its time: that is no hold.
-    scenario, books = played((0, 0, 503, 200), (1, 0, 503, 1))
-    for entry in books.tries:
+def test_held_time_of_a_refusal_starts_at_the_end_of_its_last_attempt() -> None:
+    # Half of the refusals are late because an attempt was cut off by its timeout: that time is not held.
+    scenario, records = records_of_tries((0, 0, 503, 200), (1, 0, 503, 1))
+    for entry in records.tries:
         entry.deadline_ns = entry.sent_ns + 200 * MS
-    late = books.tries[0]
+    late = records.tries[0]
     boxes = BoxRecords(
         attempts=[Attempt(0, 0, late.id, "/", late.sent_ns, late.sent_ns, late.end_ns, late.end_ns, "cancelled")]
     )
     plan = draw_plan(scenario, 1)
-    found = compute_figures(plan, boxes, books)
+    found = compute_figures(plan, boxes, records)
     assert found.refusal_p90_share == 1.0 and found.refusal_held_share < 0.01
-    boxes.attempts[0].open_ns = late.sent_ns + 20 * MS  # it had ended long before
-    assert compute_figures(plan, boxes, books).refusal_held_share == pytest.approx(0.9)
+    boxes.attempts[0].open_ns = late.sent_ns + 20 * MS  # the attempt had ended long before the refusal
+    assert compute_figures(plan, boxes, records).refusal_held_share == pytest.approx(0.9)
 
 
-def test_a_last_try_of_a_few_milliseconds_is_not_held_for_longer_than_its_time() -> None:
-    scenario, books = played((0, 0, 503, 4.3), (1, 0, 503, 1))
-    books.tries[0].deadline_ns = books.tries[0].sent_ns + 3 * MS
-    found = compute_figures(draw_plan(scenario, 1), BoxRecords(), books)
+def test_short_last_tries_do_not_count_for_the_held_time() -> None:
+    scenario, records = records_of_tries((0, 0, 503, 4.3), (1, 0, 503, 1))
+    records.tries[0].deadline_ns = records.tries[0].sent_ns + 3 * MS
+    found = compute_figures(draw_plan(scenario, 1), BoxRecords(), records)
     assert found.refusal_held_share < 0.01
-    said = missed_expectations(draw_plan(scenario, 1), dataclasses.replace(found, refusal_held_share=1.4))
-    assert not any("held" in line for line in said)  # the scenario says nothing of it
+    missed = missed_expectations(draw_plan(scenario, 1), dataclasses.replace(found, refusal_held_share=1.4))
+    assert not any("held" in line for line in missed)  # the scenario sets no such expectation
 
 
 def test_two_answers_to_one_ask_count_once() -> None:
-    scenario, books = played((0, 0, 200, 240), (0, 1, 200, 250))
-    assert compute_figures(draw_plan(scenario, 1), BoxRecords(), books).answered_in_time == 1
+    scenario, records = records_of_tries((0, 0, 200, 240), (0, 1, 200, 250))
+    assert compute_figures(draw_plan(scenario, 1), BoxRecords(), records).answered_in_time == 1
 
 
-def test_a_late_kit_calls_its_run_not_valid() -> None:
+def test_a_late_harness_makes_the_run_not_valid() -> None:
     assert assess_validity(BoxRecords(lag_ns=[MS] * 100), CallerRecords(late_ns=[MS] * 100)).valid
     assert not assess_validity(BoxRecords(lag_ns=[MS] * 100), CallerRecords(late_ns=[MS] * 90 + [20 * MS] * 10)).valid
     assert not assess_validity(BoxRecords(lag_ns=[MS] * 100 + [60 * MS]), CallerRecords()).valid
@@ -252,7 +252,7 @@
 
 
 @given(st.lists(st.binary(max_size=300), max_size=4), st.lists(st.integers(1, 50), min_size=1, max_size=20))
-def test_messages_are_the_same_however_their_bytes_are_cut(bodies: list[bytes], cuts: list[int]) -> None:
+def test_messages_do_not_depend_on_how_their_bytes_are_split(bodies: list[bytes], cuts: list[int]) -> None:
     data = b"".join(framing.answer(200, body) for body in bodies)
     framer, at = framing.Framer(answers=True), 0
     found: list[framing.Message] = []
@@ -263,7 +263,7 @@
     assert [m.body for m in found] == bodies and not framer.begun
 
 
-def test_chunked_answers_announced_ones_and_ones_that_end_by_close_are_read() -> None:
+def test_interim_chunked_and_close_delimited_responses_are_parsed() -> None:
     framer = framing.Framer(answers=True)
     (whole,) = framer.feed(
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -286,6 +286,6 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_what_is_no_answer_is_unreadable(data: bytes) -> None:
+def test_malformed_responses_are_unreadable(data: bytes) -> None:
     with pytest.raises(framing.Unreadable):
         framing.Framer(answers=True).feed(data)
--- a/tests/rehearsal/test_report.py
+++ b/tests/rehearsal/test_report.py
@@ -47,9 +47,11 @@
     )
 
 
-def test_the_page_stands_alone_and_names_each_broken_rule_with_its_proof() -> None:
+def test_the_page_is_self_contained_and_lists_each_violation_with_its_proof() -> None:
     page = as_html(broken_run(), "month-end-short")
-    assert not re.search(r"""<(script|link|img)[^>]+(src|href)=["']?(https?:)?//""", page)  # nothing from elsewhere
+    assert not re.search(
+        r"""<(script|link|img)[^>]+(src|href)=["']?(https?:)?//""", page
+    )  # loads nothing from elsewhere
     for title in ("Service by class", "Boxes", "How tries ended", "Attempts", "Broken rules: 1"):
         assert f"{title}</h2>" in page
     assert "pushed &lt;over&gt;" in page and "pushed <over>" not in page
@@ -57,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "message"),
     [
         (("calm-short", "--rate", "0"), "--rate: 0 is not from 0.1 to 5000"),
         (("calm-short", "--balancers", "999"), "--balancers: 999 is not from 1 to 192"),
@@ -67,14 +69,14 @@
         (("calm-short", "--operators", "/nowhere.toml"), "No such file"),
     ],
 )
-def test_bad_use_is_told_in_a_line_and_plays_nothing(
-    words: tuple[str, ...], said: str, capsys: pytest.CaptureFixture[str]
+def test_a_usage_error_prints_one_line_and_runs_nothing(
+    arguments: tuple[str, ...], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(words) == USAGE_ERROR
-    assert said in capsys.readouterr().err
+    assert main(arguments) == USAGE_ERROR
+    assert message in capsys.readouterr().err
 
 
-def test_the_terminal_shows_the_same_table_and_marks_what_is_wrong() -> None:
+def test_the_terminal_shows_the_same_table_and_highlights_failures() -> None:
     console = Console(record=True, width=200, force_terminal=True, file=io.StringIO())
     run = broken_run()
     print_summary(run, "month-end-short", console)
@@ -87,7 +89,7 @@
     assert "pushed" not in console.export_text()
 
 
-def test_a_terminal_is_told_how_far_a_run_is() -> None:
+def test_the_terminal_shows_the_progress_of_a_run() -> None:
     console = Console(width=100, force_terminal=True, file=io.StringIO())
     plan = broken_run().plan
     callers = cast(Callers, SimpleNamespace(plan=plan, asked=12, books=CallerRecords()))
@@ -96,7 +98,7 @@
     assert "4 of 10 s" in (told := cast(io.StringIO, console.file).getvalue()) and "12 asks, 0 tries" in told
 
 
-def test_a_page_without_its_extra_is_bad_use_before_anything_is_played(
+def test_a_page_without_its_extra_is_a_usage_error_before_the_run(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(command, "installed", lambda name: False)
@@ -112,9 +114,9 @@
     (tmp_path / "operators.toml").write_text(f'[rehearsal]\nscenarios_directory = "{tmp_path}"\n')
     assert find_scenario("ours", str(tmp_path)).seconds == 5
     assert main(["--list", "--operators", str(tmp_path / "operators.toml")]) == 0
-    listed = capsys.readouterr().out
-    assert "our own Friday" in listed and "friday-rush" in listed
-    assert "(can't be used: " in listed  # the operators' file itself, which is no scenario
+    output = capsys.readouterr().out
+    assert "our own Friday" in output and "friday-rush" in output
+    assert "(can't be used: " in output  # the operators' file itself is not a scenario
 
 
 def test_the_example_of_the_operators_page_is_a_sound_scenario() -> None:
--- a/tests/rehearsal/test_starvation.py
+++ b/tests/rehearsal/test_starvation.py
@@ -1,4 +1,4 @@
-"""A life that this machine held up accuses nobody; a fault that it did not cause stays one."""
+"""A process's life delayed by a busy machine is not judged; faults that the machine did not cause still count."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from lanemux.rehearsal.looks import LatenessLog
 
 
-def test_a_kit_that_was_late_is_told_and_only_for_its_span(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_late_harness_is_reported_only_for_its_span(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(life, "is_runnable", lambda pid: False)
 
     async def test() -> tuple[Shortage, Shortage]:
         log = LatenessLog(asyncio.get_running_loop())
         await asyncio.sleep(0.02)
-        held_up = Starvation(log, os.getpid())
+        stalled = Starvation(log, os.getpid())
         time.sleep(0.2)
-        first = await held_up.look()
+        during_stall = await stalled.look()
         await asyncio.sleep(0.02)
-        after = Starvation(log, os.getpid())
+        after_stall = Starvation(log, os.getpid())
         await asyncio.sleep(0.02)
-        second = await after.look()
+        second = await after_stall.look()
         log.stop()
-        return first, second
+        return during_stall, second
 
-    first, after = asyncio.run(test())
-    assert first.kit_late_s > 0.1 and first.explains
-    assert after.kit_late_s < 0.1
+    during_stall, after_stall = asyncio.run(test())
+    assert during_stall.kit_late_s > 0.1 and during_stall.explains
+    assert after_stall.kit_late_s < 0.1
 
 
-def test_a_wait_for_a_processor_that_goes_on_is_counted_once_it_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_wait_for_a_cpu_is_counted_once_it_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
     waits_ns, runnable = iter((0, 0, 0, 0, 900_000_000, 900_000_000)), iter((True, True, True, True, False))
     monkeypatch.setattr(life, "waited_ns", lambda pid: next(waits_ns))
     monkeypatch.setattr(life, "is_runnable", lambda pid: next(runnable))
@@ -62,17 +62,17 @@
         (Shortage(0.0, 0.6, 0.0, span_s=10.0), True),
     ],
 )
-def test_a_shortage_over_the_bounds_of_a_rehearsal_explains_a_fault(shortage: Shortage, explains: bool) -> None:
+def test_a_shortage_over_the_limits_of_a_valid_run_explains_a_fault(shortage: Shortage, explains: bool) -> None:
     assert shortage.explains == explains
 
 
-def test_a_fault_that_a_shortage_explains_hides_no_other() -> None:
-    short, both = Life([]), Life([])
-    short.accuse("no answer", Shortage(0.2, 0.0, 0.0))
-    assert not short.bad and "kit late 200 ms" in short.not_valid
-    both.accuse("no answer", Shortage(0.2, 0.0, 0.0))
-    both.accuse("no answer", Shortage(0.0, 0.0, 0.0))
-    assert both.bad
+def test_a_fault_explained_by_a_shortage_hides_no_other_fault() -> None:
+    explained, mixed = Life([]), Life([])
+    explained.accuse("no answer", Shortage(0.2, 0.0, 0.0))
+    assert not explained.bad and "kit late 200 ms" in explained.not_valid
+    mixed.accuse("no answer", Shortage(0.2, 0.0, 0.0))
+    mixed.accuse("no answer", Shortage(0.0, 0.0, 0.0))
+    assert mixed.bad
 
 
 def test_stolen_time_is_the_mean_of_the_processors(monkeypatch: pytest.MonkeyPatch) -> None:
