--- a/lanemux/rehearsal/plan.py
+++ b/lanemux/rehearsal/plan.py
@@ -104,8 +104,8 @@
     replaced_end_ns: dict[int, int] = field(default_factory=dict)  # of boxes that a deploy replaces
     etcd_faults: list[Happening] = field(default_factory=list)  # per etcd member: drop, reset, stall, compact
     spread_ns: list[int] = field(default_factory=list)  # delay of each balancer's agent
-    fronts_notice_ns: int = 0
-    cancels_queued: bool = False
+    fronts_notice_ns: int = 0  # delay until the front stops using a dead balancer
+    cancels_queued: bool = False  # whether a cancel removes work that is queued at a box
 
     def digest(self) -> str:
         """A hash over every arrival, fault and notice; equal for equal scenarios and seeds."""
--- a/lanemux/rehearsal/process_monitor.py
+++ b/lanemux/rehearsal/process_monitor.py
@@ -25,8 +25,8 @@
 class ProcessMonitor:
     """Keeps the maximum of each sampled value in the callers' records."""
 
-    def __init__(self, books: CallerRecords) -> None:
-        self._books = books
+    def __init__(self, records: CallerRecords) -> None:
+        self._records = records
         self._last: dict[int, _Sample] = {}
 
     async def sample(self, harness: Sequence[int], balancers: Sequence[int], record_waits: bool) -> None:
@@ -46,11 +46,11 @@
             span_ns = current.at_ns - previous.at_ns
             if record_waits:
                 waited_share = (current.waited_ns - previous.waited_ns) / span_ns
-                self._books.waited_share = max(self._books.waited_share, waited_share)
+                self._records.waited_share = max(self._records.waited_share, waited_share)
             if balancer:
                 spent_share = (current.spent_s - previous.spent_s) * 1e9 / span_ns
-                self._books.busiest_share = max(self._books.busiest_share, spent_share)
+                self._records.busiest_share = max(self._records.busiest_share, spent_share)
         if balancer:
             descriptors, memory_mb = usage(pid)
-            self._books.descriptors_most = max(self._books.descriptors_most, descriptors)
-            self._books.memory_most_mb = max(self._books.memory_most_mb, memory_mb)
+            self._records.descriptors_most = max(self._records.descriptors_most, descriptors)
+            self._records.memory_most_mb = max(self._records.memory_most_mb, memory_mb)
--- a/lanemux/rehearsal/run.py
+++ b/lanemux/rehearsal/run.py
@@ -81,7 +81,7 @@
         rehearsal = Rehearsal(scenario, seed, command, folder or Path(temporary))
         try:
             await rehearsal.open()
-            run = await rehearsal.play(progress)
+            run = await rehearsal.run(progress)
         finally:
             await rehearsal.close()
             gc.unfreeze()
@@ -196,7 +196,7 @@
 
     # -- the run --
 
-    async def play(self, progress: ProgressCallback | None) -> Run:
+    async def run(self, progress: ProgressCallback | None) -> Run:
         """Run the scenario from the first ask to the last answer, and evaluate it."""
         assert self._pipe is not None
         scenario = self.plan.scenario
--- a/lanemux/rehearsal/scenario.py
+++ b/lanemux/rehearsal/scenario.py
@@ -58,8 +58,8 @@
     slots_per_core: int = bounded(1, 64, 1)  # requests processed at once
     queue_per_core: Range = bounded(0, 1000, (6.0, 10.0))  # waiting requests; further ones are declined
     speed_cv: Range = bounded(0, 0.5, (0.05, 0.1))
-    thrash: Range = bounded(0, 0.9, (0.05, 0.14))  # speed lost while a core holds more than thrash_at
-    thrash_at: Range = bounded(0, 1000, (4.6, 6.9))
+    thrash: Range = bounded(0, 0.9, (0.05, 0.14))  # share of speed lost while a core has over thrash_at
+    thrash_at: Range = bounded(0, 1000, (4.6, 6.9))  # requests per core, waiting or in work
     cold_from: Range = bounded(0.01, 1, (0.31, 0.57))  # share of its capacity right after the start
     cold_s: Range = bounded(0.01, 600, (3.1, 8.7))  # fully warm after this at the latest
     cold_worst_from: float = bounded(0.01, 1, 0.31)  # the worst values of cold_from and cold_s, given to the balancers
--- a/lanemux/rehearsal/service.py
+++ b/lanemux/rehearsal/service.py
@@ -168,8 +168,11 @@
     for life in frozen:
         spans[life.who].append(life)
     frozen_attempts = sum(
-        any(span.from_ns <= a.first_lo_ns and a.first_lo_ns < span.to_ns <= a.whole_ns for span in spans[a.box])
-        for a in attempts
+        any(
+            span.from_ns <= attempt.first_lo_ns and attempt.first_lo_ns < span.to_ns <= attempt.whole_ns
+            for span in spans[attempt.box]
+        )
+        for attempt in attempts
     )
     chance = sum(min(span.to_ns, end) - span.from_ns for span in frozen) / (end * plan.scenario.fleet.boxes)
     return frozen_attempts / len(attempts) / chance if attempts and chance > 0 else 0.0
@@ -177,8 +180,8 @@
 
 def outage_span(plan: Plan) -> tuple[int, int] | None:
     """From the first death of a box that returns later to the last such return; None if none returns."""
-    died = {h.who: h.at_ns for h in plan.happenings if h.what == "die"}
-    returned = {h.who: h.at_ns for h in plan.happenings if h.what == "start" and h.who in died}
+    died = {event.who: event.at_ns for event in plan.happenings if event.what == "die"}
+    returned = {event.who: event.at_ns for event in plan.happenings if event.what == "start" and event.who in died}
     return (min(died[who] for who in returned), max(returned.values())) if returned else None
 
 
@@ -196,11 +199,11 @@
 
 def _returns_peak(tries: Sequence[Try], span: tuple[int, int]) -> float:
     """How unevenly refused callers retry: the busiest 100 ms over the mean."""
-    refused = {(t.ask, t.number) for t in tries if t.how == "answered" and t.status in (429, 503)}
+    refused = {(entry.ask, entry.number) for entry in tries if entry.how == "answered" and entry.status in (429, 503)}
     returns = [0] * max(1, (span[1] - span[0]) // RETURNS_BIN_NS)
-    for t in tries:
-        bin_index = (t.sent_ns - span[0]) // RETURNS_BIN_NS
-        if t.number and (t.ask, t.number - 1) in refused and 0 <= bin_index < len(returns):
+    for entry in tries:
+        bin_index = (entry.sent_ns - span[0]) // RETURNS_BIN_NS
+        if entry.number and (entry.ask, entry.number - 1) in refused and 0 <= bin_index < len(returns):
             returns[bin_index] += 1
     return max(returns) * len(returns) / sum(returns) if sum(returns) else 0.0
 
@@ -209,27 +212,27 @@
     """The figures of a run, computed from the records alone."""
     results = ask_results(plan, callers.tries)
     counted = {result.ask.number for result in results}
-    tries = [t for t in callers.tries if t.ask in counted]
-    by_id = {t.id: t for t in tries}
-    attempts = [a for a in boxes.attempts if a.id in by_id]
-    refused = [t for t in tries if t.how == "answered" and t.status in (429, 503)]
+    tries = [entry for entry in callers.tries if entry.ask in counted]
+    by_id = {entry.id: entry for entry in tries}
+    attempts = [attempt for attempt in boxes.attempts if attempt.id in by_id]
+    refused = [entry for entry in tries if entry.how == "answered" and entry.status in (429, 503)]
     first_attempt_ns: dict[str, int] = {}
-    for a in attempts:
-        first_attempt_ns[a.id] = min(first_attempt_ns.get(a.id, a.whole_ns), a.whole_ns)
+    for attempt in attempts:
+        first_attempt_ns[attempt.id] = min(first_attempt_ns.get(attempt.id, attempt.whole_ns), attempt.whole_ns)
     first_attempt_waits_ms = [
         (at - by_id[name].sent_ns) / MS for name, at in first_attempt_ns.items() if by_id[name].sent_ns
     ]
     answers_ms = [result.served_ns / MS for result in results if result.served_ns >= 0]
     heavy_hint_us = quantile([result.ask.hint_us for result in results], 1 - HEAVY_SHARE)
-    outcomes = Counter(a.how for a in attempts)
-    waited_shares = [(t.end_ns - t.sent_ns) / max(1, t.deadline_ns - t.sent_ns) for t in refused]
+    outcomes = Counter(attempt.how for attempt in attempts)
+    waited_shares = [(entry.end_ns - entry.sent_ns) / max(1, entry.deadline_ns - entry.sent_ns) for entry in refused]
     last_attempt_end_ns: dict[str, int] = {}
-    for a in attempts:
-        last_attempt_end_ns[a.id] = max(last_attempt_end_ns.get(a.id, 0), a.open_ns)
+    for attempt in attempts:
+        last_attempt_end_ns[attempt.id] = max(last_attempt_end_ns.get(attempt.id, 0), attempt.open_ns)
     held_shares = [
-        (t.end_ns - max(t.sent_ns, last_attempt_end_ns.get(t.id, 0))) / (t.deadline_ns - t.sent_ns)
-        for t in refused
-        if t.deadline_ns - t.sent_ns >= MIN_HELD_TRY_NS
+        (entry.end_ns - max(entry.sent_ns, last_attempt_end_ns.get(entry.id, 0))) / (entry.deadline_ns - entry.sent_ns)
+        for entry in refused
+        if entry.deadline_ns - entry.sent_ns >= MIN_HELD_TRY_NS
     ]
     ask_count = max(1, len(results))
     span = outage_span(plan)
@@ -253,8 +256,8 @@
         answered_late=sum(result.served_ns >= 0 and not result.in_time for result in results),
         tries=len(tries),
         refused=len(refused),
-        failed=sum(t.how == "answered" and t.status not in (200, 429, 503) for t in tries),
-        unreached=sum(t.how == "refused" for t in tries),
+        failed=sum(entry.how == "answered" and entry.status not in (200, 429, 503) for entry in tries),
+        unreached=sum(entry.how == "refused" for entry in tries),
         attempts=len(attempts),
         attempts_per_ask=len(attempts) / ask_count,
         probes_per_ask=boxes.probes / ask_count,
@@ -304,15 +307,15 @@
         point_at(result.ask.at_ns).asked[result.ask.class_name] += result.worth
         point_at(result.ask.at_ns).asks += 1
         point_at(result.ask.at_ns).earned[result.ask.class_name] += result.worth * result.in_time
-    attempted = {a.id for a in boxes.attempts}
-    for t in callers.tries:
-        point = point_at(t.end_ns)
+    attempted = {attempt.id for attempt in boxes.attempts}
+    for entry in callers.tries:
+        point = point_at(entry.end_ns)
         point.tries += 1
-        refused = t.how == "answered" and t.status in (429, 503)
-        point.refused_before_attempt += refused and t.id not in attempted
-        point.refused_after_attempt += refused and t.id in attempted
-        point.failed += t.how == "answered" and t.status not in (200, 429, 503)
-        point.unanswered += t.how in ("lost", "silent", "refused")
-    for a in boxes.attempts:
-        point_at(a.whole_ns).attempts += 1
+        refused = entry.how == "answered" and entry.status in (429, 503)
+        point.refused_before_attempt += refused and entry.id not in attempted
+        point.refused_after_attempt += refused and entry.id in attempted
+        point.failed += entry.how == "answered" and entry.status not in (200, 429, 503)
+        point.unanswered += entry.how in ("lost", "silent", "refused")
+    for attempt in boxes.attempts:
+        point_at(attempt.whole_ns).attempts += 1
     return points
