--- a/lanemux/rehearsal/balancers.py
+++ b/lanemux/rehearsal/balancers.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lanemux.rehearsal.addresses import Address, bound
+from lanemux.rehearsal.addresses import Address, bound_socket
 
 READY_TIMEOUT_S = 30.0  # a balancer that is not ready by then has failed to start
 STOP_TIMEOUT_S = 4.5  # after SIGTERM: the longest request deadline plus the platform's 0.7 s
@@ -64,7 +64,7 @@
 def free_address(host: str, datagrams: bool = False) -> Address:
     """A free address on that host. It stays free: only the rehearsal uses these loopback hosts."""
     if not datagrams:
-        sock = bound((host, 0))
+        sock = bound_socket((host, 0))
     else:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((host, 0))
--- a/lanemux/rehearsal/box_context.py
+++ b/lanemux/rehearsal/box_context.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lanemux.rehearsal.books import BoxBooks
 from lanemux.rehearsal.loop_timing import PollTimes
 from lanemux.rehearsal.plan import Ask, Plan
+from lanemux.rehearsal.records import BoxRecords
 
 
 class ExactTimes(Protocol):
@@ -33,7 +33,7 @@
     loop: asyncio.AbstractEventLoop
     plan: Plan
     poll_times: PollTimes
-    records: BoxBooks
+    records: BoxRecords
     start_ns: int  # the start of the run on the loop's clock
     asks: dict[str, Ask]  # by the request id of each of their tries
     on_overload_crash: Callable[[int, int], None]  # called with the box and the time
--- a/lanemux/rehearsal/box_host.py
+++ b/lanemux/rehearsal/box_host.py
@@ -13,12 +13,12 @@
 from collections import Counter
 
 from lanemux.rehearsal import framing
-from lanemux.rehearsal.addresses import Address, bound
-from lanemux.rehearsal.books import NEVER, Attempt, Life, Oddity
+from lanemux.rehearsal.addresses import Address, bound_socket
 from lanemux.rehearsal.box import BoxModel, Job
 from lanemux.rehearsal.box_connection import RESET, Connection
 from lanemux.rehearsal.box_context import BoxContext
-from lanemux.rehearsal.plan import MS, Ask, Box, attempt_work
+from lanemux.rehearsal.plan import MS, Ask, Box, attempt_work_ns
+from lanemux.rehearsal.records import NEVER, Anomaly, Attempt, StateSpan
 from lanemux.rehearsal.request_form import body_digest, matches_ask, response_body
 
 BACKLOG = 128
@@ -45,7 +45,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._unfreeze_timer: asyncio.TimerHandle | None = None
         self._polled_since_ns = 0  # the loop has polled the listeners since then
-        self._open_states: dict[str, Life] = {}  # by state, those that have not ended
+        self._open_states: dict[str, StateSpan] = {}  # by state, those that have not ended
         self._start_attempts = 0
 
     # -- the process --
@@ -70,7 +70,7 @@
         """Listen at all addresses, or at none of them and raise OSError."""
         try:
             for address in self.addresses:
-                listener = bound(address, self.context.socket)
+                listener = bound_socket(address, self.context.socket)
                 self._listeners.append(listener)
                 listener.listen(BACKLOG)
         except OSError:
@@ -123,8 +123,8 @@
             for a in self.context.records.attempts
             if a.box == self.number and a.whole_ns > now - int(self.context.plan.scenario.fleet.fall_ms * MS)
         )
-        self.context.records.oddities.append(
-            Oddity(
+        self.context.records.anomalies.append(
+            Anomaly(
                 now,
                 "cold",
                 f"box {self.box.host} was pushed over "
@@ -221,8 +221,8 @@
 
     def _begin_state(self, state: str, at_ns: int | None = None) -> None:
         if state not in self._open_states:
-            self._open_states[state] = Life(self.number, state, self.context.now() if at_ns is None else at_ns)
-            self.context.records.lives.append(self._open_states[state])
+            self._open_states[state] = StateSpan(self.number, state, self.context.now() if at_ns is None else at_ns)
+            self.context.records.state_spans.append(self._open_states[state])
 
     def _end_state(self, state: str) -> None:
         span = self._open_states.pop(state, None)
@@ -267,7 +267,7 @@
         """When the latest span began in which nothing was accepted."""
         starts_ns = [
             life.from_ns
-            for life in self.context.records.lives
+            for life in self.context.records.state_spans
             if life.who == self.number and life.state in ("frozen", "vanished", "down")
         ]
         return max(starts_ns, default=0)
@@ -328,8 +328,8 @@
         request_id = message.headers.get("req-id", "")
         ask = self.context.asks.get(request_id)
         if ask is None or not matches_ask(self.context.plan, ask, message):
-            self.context.records.oddities.append(
-                Oddity(
+            self.context.records.anomalies.append(
+                Anomaly(
                     self.context.now(),
                     "foreign",
                     f"box {self.box.host} was sent {message.start_line[:120]!r} with "
@@ -356,7 +356,7 @@
         )
         self.context.records.attempts.append(attempt)
         connection.attempt = attempt
-        work_ns = attempt_work(self.context.plan, ask, self.number, self._attempt_counts[request_id])
+        work_ns = attempt_work_ns(self.context.plan, ask, self.number, self._attempt_counts[request_id])
         self._attempt_counts[request_id] += 1
         mean_ns = next(c.work_ms for c in self.context.plan.scenario.classes if c.name == ask.class_name) * MS
         connection.job = self.model.offer(work_ns, mean_ns)
--- a/lanemux/rehearsal/boxes.py
+++ b/lanemux/rehearsal/boxes.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.books import BoxBooks
 from lanemux.rehearsal.box_context import BoxContext
 from lanemux.rehearsal.box_host import BoxHost
 from lanemux.rehearsal.loop_timing import LoopLagRecorder
 from lanemux.rehearsal.plan import Happening
-from lanemux.rehearsal.scenario import AT_BALANCERS
+from lanemux.rehearsal.records import BoxRecords
+from lanemux.rehearsal.scenario import BALANCER_EVENTS
 
 LOAD_SAMPLE_INTERVAL_S = 0.1  # how often the number of requests at each box is recorded
 IDLE_CHECK_INTERVAL_S = 1.0  # how often idle connections are closed
@@ -29,13 +29,13 @@
 
     def start_initial(self) -> None:
         """Start the boxes that run from the beginning, warm."""
-        for number in self.context.plan.first:
+        for number in self.context.plan.initial_boxes:
             self.hosts[number].start(cold=False)
 
     def start_schedule(self, measured: bool = True) -> None:
         """Schedule the plan's faults, which start the run. `measured`: record the lag of this loop."""
         for happening in self.context.plan.happenings:
-            if happening.what not in AT_BALANCERS:
+            if happening.what not in BALANCER_EVENTS:
                 self._timers.append(self.context.call_at(happening.at_ns, self.apply, happening))
         if measured:
             self._loop_lag = LoopLagRecorder(self.context.loop, self.context.records.lag_ns)
@@ -66,7 +66,7 @@
             case "neighbour":
                 host.add_noisy_neighbour(happening.size, happening.until_ns)
 
-    def stop(self) -> BoxBooks:
+    def stop(self) -> BoxRecords:
         """Stop all boxes and return the records, with unfinished attempts as they are."""
         for timer in (*self._timers, *self._periodic.values()):
             timer.cancel()
--- a/lanemux/rehearsal/callers.py
+++ b/lanemux/rehearsal/callers.py
@@ -12,8 +12,8 @@
 
 from lanemux.rehearsal import framing
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.books import CallerBooks, Oddity, Try
 from lanemux.rehearsal.plan import MS, Ask, Plan, idempotency_key
+from lanemux.rehearsal.records import Anomaly, CallerRecords, Try
 from lanemux.rehearsal.request_form import body_digest, request_body, target_path
 
 GRACE_NS = 50 * MS  # an answer may arrive this long after the deadline in the request
@@ -224,7 +224,7 @@
     """All callers of a run, and their connections."""
 
     def __init__(
-        self, plan: Plan, front: FrontRouter, records: CallerBooks, start_ns: int, grace_ns: int = GRACE_NS
+        self, plan: Plan, front: FrontRouter, records: CallerRecords, start_ns: int, grace_ns: int = GRACE_NS
     ) -> None:
         self.plan, self.front, self.records, self.start_ns = plan, front, records, start_ns
         self.grace_ns = grace_ns  # how much longer than its deadline an answer is waited for
@@ -251,7 +251,7 @@
         task.add_done_callback(lambda task: self._tasks.pop(task, None))
 
     def record_oddity(self, rule: str, what: str, active: ActiveTry | None) -> None:
-        self.records.oddities.append(Oddity(self.now(), rule, what, active.entry.id if active else ""))
+        self.records.anomalies.append(Anomaly(self.now(), rule, what, active.entry.id if active else ""))
 
     # -- asks --
 
--- a/lanemux/rehearsal/registry.py
+++ b/lanemux/rehearsal/registry.py
@@ -15,8 +15,8 @@
 
 from lanemux.rehearsal import framing
 from lanemux.rehearsal.addresses import Address
-from lanemux.rehearsal.books import Told
 from lanemux.rehearsal.plan import MS, Box, Happening, Notice
+from lanemux.rehearsal.records import Told
 
 MAX_NOTICE_DELAY_NS = 6_000_000_000  # after this, the balancer is taken to know an update, even if it has not read it
 MAX_WAIT_MS = 60_000
--- a/lanemux/rehearsal/terminal.py
+++ b/lanemux/rehearsal/terminal.py
@@ -1,4 +1,4 @@
-"""The terminal in colours, with a bar while a run lasts. Needs rich (extra `rehearsal`); without it plain lines do."""
+"""Coloured terminal output with a progress bar. Needs rich (extra `rehearsal`); without it plain lines are printed."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 from lanemux.rehearsal import report
 from lanemux.rehearsal.callers import Callers
-from lanemux.rehearsal.rules import counts
+from lanemux.rehearsal.rules import violation_counts
 from lanemux.rehearsal.run import Run
 
 
-def show(run: Run, name: str, console: Console) -> None:
-    """The table; what is wrong is red."""
-    wrong = {
-        "rules": any(counts(run.violations).values()),
-        "expected": bool(run.missed),
+def print_summary(run: Run, name: str, console: Console) -> None:
+    """Print the results table; failed rows are red."""
+    row_failed = {
+        "rules": any(violation_counts(run.violations).values()),
+        "expected": bool(run.missed_expectations),
         "valid": not run.validity.valid,
     }
     table = Table(title=f"{name}: {run.plan.scenario.title}", title_justify="left", show_header=False, box=None)
-    for label, text in report.rows(run):
-        style = "" if label not in wrong else "bold red" if wrong[label] else "green"
+    for label, text in report.summary_rows(run):
+        style = "" if label not in row_failed else "bold red" if row_failed[label] else "green"
         table.add_row(label, Text(text, style=style))
     console.print(table)
-    for line in report.faults(run):
+    for line in report.failure_lines(run):
         console.print(Text(line, style="red"))
 
 
-class Bar:
-    """How far a run is; told once a second."""
+class ProgressBar:
+    """Progress of a run, updated once a second."""
 
     def __init__(self, console: Console) -> None:
         self._bar = Progress(
@@ -44,7 +44,7 @@
         )
         self._task: TaskID | None = None
 
-    def __enter__(self) -> Bar:
+    def __enter__(self) -> ProgressBar:
         self._bar.start()
         return self
 
@@ -53,9 +53,9 @@
     ) -> None:
         self._bar.stop()
 
-    def tell(self, at_s: float, callers: Callers) -> None:
-        whole = callers.plan.scenario.seconds
-        said = f"{callers.asked} asks, {len(callers.records.tries)} tries"
+    def update(self, at_s: float, callers: Callers) -> None:
+        total_s = callers.plan.scenario.seconds
+        description = f"{callers.asked} asks, {len(callers.records.tries)} tries"
         if self._task is None:
-            self._task = self._bar.add_task(said, total=whole)
-        self._bar.update(self._task, completed=min(at_s, whole), description=said, refresh=True)
+            self._task = self._bar.add_task(description, total=total_s)
+        self._bar.update(self._task, completed=min(at_s, total_s), description=description, refresh=True)
--- a/tests/rehearsal/test_boxes.py
+++ b/tests/rehearsal/test_boxes.py
@@ -11,14 +11,14 @@
 import pytest
 
 from lanemux.rehearsal import framing
-from lanemux.rehearsal.addresses import Address, reserve
-from lanemux.rehearsal.books import BoxBooks
+from lanemux.rehearsal.addresses import Address, reserve_addresses
 from lanemux.rehearsal.box_context import BoxContext
 from lanemux.rehearsal.box_host import BoxHost
 from lanemux.rehearsal.boxes import Boxes
-from lanemux.rehearsal.command import find
+from lanemux.rehearsal.command import find_scenario
 from lanemux.rehearsal.loop_timing import PollTimingSelector
-from lanemux.rehearsal.plan import MS, draw
+from lanemux.rehearsal.plan import MS, draw_plan
+from lanemux.rehearsal.records import BoxRecords
 from lanemux.rehearsal.request_form import target_path
 
 SHORT_S = 0.05
@@ -55,18 +55,18 @@
 @asynccontextmanager
 async def open_box(poll_times: PollTimingSelector) -> AsyncIterator[OpenBox]:
     loop = asyncio.get_running_loop()
-    plan = draw(dataclasses.replace(find("calm-short"), seconds=1.0), 1)
+    plan = draw_plan(dataclasses.replace(find_scenario("calm-short"), seconds=1.0), 1)
     plan.asks[0] = dataclasses.replace(plan.asks[0], work_ns=20 * MS)
     context = BoxContext(
         loop,
         plan,
         poll_times,
-        BoxBooks(),
+        BoxRecords(),
         int(loop.time() * 1e9),
         {name: ask for ask in plan.asks for name in ask.ids},
         lambda box, at: None,
     )
-    addresses = reserve(plan, "127.61")
+    addresses = reserve_addresses(plan, "127.61")
     boxes = Boxes(context, addresses)
     boxes.start_initial()
     try:
@@ -141,7 +141,7 @@
         box.host.start(cold=True)
         _, again = await asyncio.open_connection(*box.address)
         again.close()
-        assert [life.state for life in box.context.records.lives] == ["draining", "down", "cold"]
+        assert [life.state for life in box.context.records.state_spans] == ["draining", "down", "cold"]
 
     run_on_box(test)
 
@@ -188,7 +188,7 @@
             writer.write(framing.request(target, {"Req-Id": name} if name else {}))
             assert (await answer(reader)).status == status
             writer.close()
-        assert [o.rule for o in box.context.records.oddities] == ["foreign"] * 3
+        assert [o.rule for o in box.context.records.anomalies] == ["foreign"] * 3
 
     run_on_box(test)
 
