--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -93,20 +93,20 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
         capacity = max(8, (config.sockets - RESERVED_DESCRIPTORS) // 2)
         self.tally = Tally(config.settings.classes)
-        self._hub = PoolManager(
+        self._pool_manager = PoolManager(
             capacity, limits.connect_timeout_ns / SECOND, limits.conn_idle_ns / SECOND, stream=True, counter=self.tally
         )
         self._streaming: dict[str, ActiveRequest] = {}  # requests whose responses are being streamed
         self.server = Server(self, capacity, system, self.tally, admission(capacity) if admission is not None else None)
         self.frontend = Frontend(config, self.server)
-        self.upstream_set = UpstreamSet(config, self._hub, system, source, self.feed, self._cancel_stale_waits)
+        self.upstream_set = UpstreamSet(config, self._pool_manager, system, source, self.feed, self._cancel_stale_waits)
         self.background = BackgroundAcquisition(self.tally)
         self.port = 0  # the listening port for clients; 0 until it listens
         self._peers = Peers(config.peers, config.peers_all, config.settings.me, self._on_peer_message)
         self.plugins = PluginHost(self._peers.send)
         self._module_runner = ModuleRunner(module, self._current_state)
         probe_path = b"/stats" if config.settings.report_columns else b"/health/live"
-        self._probes = Probes(self._hub, probe_path, self.feed)
+        self._probes = Probes(self._pool_manager, probe_path, self.feed)
 
     # -- start --
 
@@ -147,7 +147,7 @@
     def _sweep_idle(self) -> None:
         """Close expired connections, forget expired cordons and abort stalled streams; runs once per interval."""
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_idle)
-        self._hub.close_expired()
+        self._pool_manager.close_expired()
         self.upstream_set.expire_cordons()
         stale = now_ns() - STREAM_IDLE_TIMEOUT_NS
         for active in [s for s in self._streaming.values() if s.last_progress_ns < stale]:
@@ -200,7 +200,7 @@
         await self.frontend.flush(end)
         self.close()
         await self.upstream_set.source.wait_stopped()
-        await self._hub.wait_for_cancelled()
+        await self._pool_manager.wait_for_cancelled()
         await asyncio.sleep(0)  # closed transports release their sockets in the next loop iteration
 
     def held(self) -> dict[str, int]:
@@ -212,7 +212,7 @@
             "events": len(self._events),
             "probes": len(self._probes),
             "connections": self.server.connection_count,
-            "attempts": self._hub.open_connections - len(self._hub.idle),
+            "attempts": self._pool_manager.open_connections - len(self._pool_manager.idle),
         }
 
     def close(self) -> None:
@@ -227,7 +227,7 @@
             if timer is not None:
                 timer.cancel()
         self._probes.abandon()
-        for pool in self._hub.pools.values():
+        for pool in self._pool_manager.pools.values():
             pool.close_idle()
         self.plugins.close()
         self._peers.close()
@@ -286,7 +286,7 @@
             case api.SendToPeer():
                 self._peers.send(action.data, action.peer)
             case api.CloseIdle():
-                if (pool := self._hub.pools.get(action.upstream)) is not None:
+                if (pool := self._pool_manager.pools.get(action.upstream)) is not None:
                     pool.close_idle()
             case api.Subscribe():
                 if action.on:
@@ -405,7 +405,7 @@
         now = now_ns()
         active = self._active_requests.get(action.request)
         attempt_number = active.sends if active is not None else 0
-        pool = self._hub.pools.get(action.upstream)
+        pool = self._pool_manager.pools.get(action.upstream)
         # The timeout counts from the decision: a stall of the process since then must not push it past the deadline, or
         # the module would hear of it too late.
         end = active.deadline_ns - NODE_DEADLINE_MARGIN_NS if active is not None else now
--- a/lanemux/net/probes.py
+++ b/lanemux/net/probes.py
@@ -18,8 +18,8 @@
 class Probes:
     """The probes in flight; `feed` receives the result of each."""
 
-    def __init__(self, hub: PoolManager, path: bytes, feed: Callable[[api.ProbeResult], None]) -> None:
-        self._hub, self._path, self._feed = hub, path, feed
+    def __init__(self, pool_manager: PoolManager, path: bytes, feed: Callable[[api.ProbeResult], None]) -> None:
+        self._pool_manager, self._path, self._feed = pool_manager, path, feed
         self._in_flight: dict[Exchange, None] = {}
 
     def __len__(self) -> int:
@@ -27,7 +27,7 @@
 
     def begin(self, upstream: int) -> None:
         """Probe this upstream; a probe that can't be started now counts as a failed connection."""
-        pool, started_ns = self._hub.pools.get(upstream), now_ns()
+        pool, started_ns = self._pool_manager.pools.get(upstream), now_ns()
         if pool is None or len(self._in_flight) >= MAX_PROBES:
             self._feed(api.ProbeResult(upstream, api.Result.CONNECT_FAILED, 0))
             return
@@ -42,7 +42,7 @@
 
         host = "{}:{}".format(*pool.address).encode()
         request = write_request(b"GET", self._path, [(b"Host", host)])
-        probe = Exchange(pool, request, on_end, self._hub.capacity // RESERVE_DIVISOR)
+        probe = Exchange(pool, request, on_end, self._pool_manager.capacity // RESERVE_DIVISOR)
         self._in_flight[probe] = None
         probe.start(asyncio.get_running_loop().time() + PROBE_TIMEOUT_S)
 
--- a/lanemux/net/upstream_set.py
+++ b/lanemux/net/upstream_set.py
@@ -31,13 +31,13 @@
     def __init__(
         self,
         config: Config,
-        hub: PoolManager,
+        pool_manager: PoolManager,
         system: System,
         source: SourceFactory | None,
         on_update: Callable[[api.ListUpdate], None],
         on_targets_changed: Callable[[], None],
     ) -> None:
-        self._config, self._hub, self._wall_ns = config, hub, system.wall_ns
+        self._config, self._pool_manager, self._wall_ns = config, pool_manager, system.wall_ns
         self._on_update, self._on_targets_changed = on_update, on_targets_changed
         offset_ns = system.wall_ns() - now_ns()
         self.membership = Membership(offset_ns)  # the rows as last received
@@ -153,13 +153,13 @@
 
     def _update_pools(self, listed: list[Entry], whole: bool = False) -> list[Entry]:
         """Update the connection pools to these entries; returns the entries with cordons applied."""
-        pools, entries = self._hub.pools, self._cordons.effective_entries(listed, now_ns())
+        pools, entries = self._pool_manager.pools, self._cordons.effective_entries(listed, now_ns())
         removed = set(pools) - {e.upstream.id for e in entries} if whole else set()
         for entry in entries:
             if entry.upstream.state is api.State.GONE:
                 removed.add(entry.upstream.id)
                 continue
-            pool = pools.setdefault(entry.upstream.id, Pool(self._hub, entry.address))
+            pool = pools.setdefault(entry.upstream.id, Pool(self._pool_manager, entry.address))
             pool.move(entry.address)
             pool.ready = entry.upstream.state is api.State.READY
             if not pool.ready:
--- a/tests/etcd/test_drains.py
+++ b/tests/etcd/test_drains.py
@@ -109,7 +109,9 @@
             await client.send(request("/read", f"Cookie: user={i}"))
         await until(lambda: len(self.script.of(api.Arrival)) == arrived + BOXES)
         self.end_boxes(number)
-        await until(lambda: len(self.notified_at) == BOXES and not any(p.ready for p in node._hub.pools.values()))
+        await until(
+            lambda: len(self.notified_at) == BOXES and not any(p.ready for p in node._pool_manager.pools.values())
+        )
         await until(lambda: time.monotonic() > max(self.notified_at.values()) + GRACE_S)
         self.release.set()
         for client in clients:
@@ -117,7 +119,7 @@
             client.close()
         late = sum(at > self.notified_at[host(i)] + GRACE_S for i, at in self.arrivals)
         self.all_up()
-        await until(lambda: sum(p.ready for p in node._hub.pools.values()) == BOXES)
+        await until(lambda: sum(p.ready for p in node._pool_manager.pools.values()) == BOXES)
         return late
 
 
@@ -136,7 +138,7 @@
             monkeypatch.setattr(node.upstream_set, "_on_targets_changed", lambda: None)
         port = await node.start()
         try:
-            await until(lambda: len(node._hub.pools) == BOXES)
+            await until(lambda: len(node._pool_manager.pools) == BOXES)
             late = [await scenario.round(node, port, number) for number in range(rounds)]
         finally:
             node.close()
--- a/tests/etcd/test_source.py
+++ b/tests/etcd/test_source.py
@@ -464,7 +464,7 @@
         server.faults.refuse_lists = "not yet"
         numbers = Membership(0)
         async with balancer(registry, None) as node:
-            pools = node._hub.pools
+            pools = node._pool_manager.pools
             await until(lambda: len(pools) == 2)
             node.upstream_set.replace_source(EtcdSourceFactory(Target((server.address,), PREFIX)))
             await until(lambda: server.lists >= 2)
@@ -491,7 +491,7 @@
         registry.rows = {"a": entry("a", 1)}
         server.store.write([(key("a"), json.dumps({k: v for k, v in entry("a", 1).items() if k != "host"}).encode())])
         async with balancer(registry, None) as node:
-            await until(lambda: len(node._hub.pools) == 1)
+            await until(lambda: len(node._pool_manager.pools) == 1)
             old = node.upstream_set.source
             node.upstream_set.replace_source(EtcdSourceFactory(Target((server.address,), PREFIX)))
             await until(lambda: node.upstream_set.source is not old and node.upstream_set.pending_source is None)
--- a/tests/rehearsal/broken/two_at_once.py
+++ b/tests/rehearsal/broken/two_at_once.py
@@ -16,7 +16,7 @@
     call = self._active_requests.get(action.request)
     if call is None or call.exchange is None or int(call.id) % 10:
         return
-    other = next((p for n, p in self._hub.pools.items() if n != action.upstream and p.ready), None)
+    other = next((p for n, p in self._pool_manager.pools.items() if n != action.upstream and p.ready), None)
     if other is not None:
         Exchange(other, call.exchange.render, lambda result, response: None).start(None)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -144,10 +144,10 @@
             assert update.kind is api.ListKind.DELTA and [u.zone for u in update.upstreams] == ["east"]
             assert asking == [True]
             assert registry.calls[1][1].startswith("/registry/instances?after=2&")
-            assert len(client.node._hub.pools) == 2
+            assert len(client.node._pool_manager.pools) == 2
             registry.change("s9", health="removed")
             await until(lambda: len(script.of(api.ListUpdate)) == 3)
-            assert len(client.node._hub.pools) == 1
+            assert len(client.node._pool_manager.pools) == 1
 
     run(test())
 
@@ -215,10 +215,10 @@
         async with node(script, registry=registry, known_list=known(5)) as client:
             await until(lambda: len(registry.calls) >= 3)
             assert registry.calls[2][0] - registry.calls[0][0] > 0.1  # it backs off
-            assert len(script.of(api.ListUpdate)) == 1 and len(client.node._hub.pools) == 1
+            assert len(script.of(api.ListUpdate)) == 1 and len(client.node._pool_manager.pools) == 1
             registry.broken = b""
             registry.change("s9", dial="127.0.0.1:9")
-            await until(lambda: len(client.node._hub.pools) == 2)
+            await until(lambda: len(client.node._pool_manager.pools) == 2)
 
     run(test())
 
@@ -228,7 +228,7 @@
         registry = Registry()
         async with node(Script(), registry=registry, known_list=known(5)) as client:
             registry.change("s0", dial="127.0.0.2:6")
-            pool = next(iter(client.node._hub.pools.values()))
+            pool = next(iter(client.node._pool_manager.pools.values()))
             await until(lambda: pool.address == ("127.0.0.2", 6))
 
     run(test())
@@ -251,7 +251,7 @@
             await until(lambda: len(registry.calls) == 2)
             client.node.feed(api.TimerFired("fetch"))
             await until(lambda: len(script.of(api.ListUpdate)) == 2)
-            assert script.of(api.ListUpdate)[1].kind is api.ListKind.FULL and not client.node._hub.pools
+            assert script.of(api.ListUpdate)[1].kind is api.ListKind.FULL and not client.node._pool_manager.pools
             assert registry.calls[2][1] == "/registry/instances"
 
     run(test())
@@ -281,10 +281,10 @@
             await until(lambda: len(new.calls) == 2)
             assert new.calls[0][1] == "/registry/instances"
             assert new.calls[1][1].startswith("/registry/instances?after=3&")
-            assert len(hosts(script)) == 2 and len(client.node._hub.pools) == 2
+            assert len(hosts(script)) == 2 and len(client.node._pool_manager.pools) == 2
             assert old_client._pool.manager.open_connections == 0
             new.change("s7")
-            await until(lambda: len(client.node._hub.pools) == 3)
+            await until(lambda: len(client.node._pool_manager.pools) == 3)
         new.upstream.stop()
 
     run(test())
@@ -299,9 +299,9 @@
             client.node.upstream_set.move_discovery((HOST, new.upstream.port))
             await until(lambda: len(new.calls) == 2)
             old.change("s1")
-            await until(lambda: len(client.node._hub.pools) == 2)
+            await until(lambda: len(client.node._pool_manager.pools) == 2)
             new.broken = b""
-            await until(lambda: len(client.node._hub.pools) == 1)
+            await until(lambda: len(client.node._pool_manager.pools) == 1)
         new.upstream.stop()
 
     run(test())
@@ -335,7 +335,7 @@
             for address in addresses:
                 client.node.upstream_set.move_discovery(address)
             old.change("s1")
-            await until(lambda: len(client.node._hub.pools) == 2)
+            await until(lambda: len(client.node._pool_manager.pools) == 2)
             for address in addresses[:2]:
                 client.node.upstream_set.move_discovery(address)
             await until(lambda: len(new[1].calls) == 2)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -178,7 +178,7 @@
         async with node(script, upstream) as client:
             for number in (1, 2):
                 assert (await client.ask(request())).body == b"mine"
-                assert upstream.opened == len(upstream.got) == number and not client.node._hub.idle
+                assert upstream.opened == len(upstream.got) == number and not client.node._pool_manager.idle
             assert [o.result for o in script.of(api.Outcome)] == [Result.OK] * 2
 
     run(test())
@@ -235,9 +235,9 @@
         upstream = await Upstream(silent).start()
         script = Script(lambda e: [api.Probe(script.ids()[0])] * 20 if isinstance(e, api.TimerFired) else ())
         async with node(script, upstream) as client:
-            client.node._hub.capacity = 16
+            client.node._pool_manager.capacity = 16
             client.node.feed(api.TimerFired("now"))
-            assert client.node._hub.open_connections <= 14
+            assert client.node._pool_manager.open_connections <= 14
             sends_first(script)
             await client.send(request())
             await until(lambda: any("/read" in got.first for got in upstream.got))
@@ -266,8 +266,10 @@
             await until(lambda: any("/read" in got.first for got in upstream.got))
             client.node.feed(api.TimerFired("now"))  # these probes are connecting
             client.node.close()
-            await client.node._hub.wait_for_cancelled()
-            assert len(sent) == 1 and not client.node.held()["probes"] and not client.node._hub.open_connections
+            await client.node._pool_manager.wait_for_cancelled()
+            assert (
+                len(sent) == 1 and not client.node.held()["probes"] and not client.node._pool_manager.open_connections
+            )
 
     run(test())
 
@@ -371,7 +373,7 @@
         sends_first(script, fails_unserved)
         port = server.sockets[0].getsockname()[1]
         async with node(script, known_list=known(port)) as client:
-            pool = next(iter(client.node._hub.pools.values()))
+            pool = next(iter(client.node._pool_manager.pools.values()))
             ended: list[Result] = []
             exchange = pool.exchange(b"x" * 50_000_000, None, lambda result, response: ended.append(result))
             await until(lambda: held and not exchange.waiting)
@@ -674,7 +676,7 @@
                 assert (await client.ask(request())).status == 200
                 assert upstream.opened == opened
                 if len(upstream.got) == 2:
-                    pool = next(iter(client.node._hub.pools.values()))
+                    pool = next(iter(client.node._pool_manager.pools.values()))
                     pool.idle[0].idle_since -= 12.5  # as if it had been idle for this long
             await until(lambda: upstream.closed == 1)
 
@@ -688,7 +690,7 @@
         sends_first(script)
         async with node(script, upstream) as client:
             assert (await client.ask(request())).status == 200
-            pool = next(iter(client.node._hub.pools.values()))
+            pool = next(iter(client.node._pool_manager.pools.values()))
             transport = pool.idle[0]._transport
             assert transport is not None
             transport.close()  # as on EOF; the pool is told one loop iteration later
@@ -711,13 +713,13 @@
             for other in others[:7]:
                 await other.send(request())
             await until(lambda: len(upstream.got) == 7)
-            client.node._hub.capacity = 7
+            client.node._pool_manager.capacity = 7
             assert (await client.ask(request())).status == 504
-            assert client.node._hub.open_connections == 7
+            assert client.node._pool_manager.open_connections == 7
             assert [o.result for o in script.of(api.Outcome)] == [Result.CONNECT_FAILED]
             for other in others:
                 other.close()
-            await until(lambda: client.node._hub.open_connections == 0)
+            await until(lambda: client.node._pool_manager.open_connections == 0)
 
     run(test())
 
@@ -731,11 +733,11 @@
         first, second = await Upstream(answers(200)).start(), await Upstream(answers(200)).start()
         script = Script()
         async with node(script, first, second) as client:
-            client.node._hub.capacity = 1
+            client.node._pool_manager.capacity = 1
             for number, upstream in enumerate((first, second)):
                 script.react = partial(sends_to, script, number)
                 assert (await client.ask(request())).status == 200
-                assert len(upstream.got) == 1 and client.node._hub.open_connections == 1
+                assert len(upstream.got) == 1 and client.node._pool_manager.open_connections == 1
             await until(lambda: first.closed == 1)
 
     run(test())
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -85,7 +85,7 @@
                 _, body, whole = await body_of(client)
                 assert whole and body == LONG
             assert client.node.tally.succeeded["read"] == 2 and client.node.held()["calls"] == 0
-            assert client.node._hub.streaming == 0
+            assert client.node._pool_manager.streaming == 0
         assert [e.attempt for e in script.of(api.ResponseStarted)] == [0, 0]
         assert [(e.result, e.complete) for e in script.of(api.Outcome)] == [(Result.OK, True)] * 2
 
@@ -206,7 +206,7 @@
             await until(lambda: client.node._streaming)
             client.close()
             await until(lambda: upstream.closed == 1 and not client.node._streaming)
-            assert client.node._hub.streaming == 0 and script.of(api.ClientGone)
+            assert client.node._pool_manager.streaming == 0 and script.of(api.ClientGone)
 
     run(test())
 
@@ -229,10 +229,10 @@
 
 def test_pieces_get_smaller_as_more_answers_pass() -> None:
     async def test() -> None:
-        hub = PoolManager(10, 1.0, 1.0)
+        manager = PoolManager(10, 1.0, 1.0)
         for passing in (0, 1, 128, 129, 500, 5000):
-            hub.streaming = passing
-            size = len(hub.buffer())
+            manager.streaming = passing
+            size = len(manager.buffer())
             assert MIN_PIECE <= size <= MAX_PIECE
             assert passing * size <= STREAMING_BYTES or size == MIN_PIECE
 
