--- a/lanemux/policy.py
+++ b/lanemux/policy.py
@@ -19,7 +19,7 @@
 SECOND = 1_000_000_000
 STALL_NS = SECOND // 50  # a timer this late means that this process was stalled
 DRAWS = 2  # random candidates besides the previous pick
-HOME_SIZES, SHARERS = (4, 10), 6  # home size: least, and enough to tolerate pauses; proxies that may share it
+HOME_SIZES, OVERLAP = (4, 10), 6  # home size: least, and enough to tolerate pauses; homes that an upstream may be in
 MIN_HOME = 1  # smallest home where open connections have a price: connections are scarce or cost work there
 GOLDEN_RATIO = 0.618033988749895  # its fractional part
 MAX_SCAN = 16  # most upstreams examined for one send: work for a request must not grow with the fleet
@@ -278,7 +278,7 @@
     recent_resets: float = 0.0  # those of them whose connection was reset
     reset_streak: int = 0  # resets in a row up to now
     in_own_home: bool = False  # in a home of this proxy, as of `placed_version`
-    sharers: float = 1.0  # proxies that have it in their home, as of `placed_version`
+    overlap: float = 1.0  # proxies that have it in their home, as of `placed_version`
     placed_version: int = -1  # the value of `Fleet.placement_version` for which these were computed
     last_load: float = 0.0  # its requests from all proxies, by its last report
     reported_ns: int = 0
@@ -315,7 +315,7 @@
     def __init__(self, me: int, zones: frozenset[str] | None, kinds: frozenset[str] | None) -> None:
         super().__init__(me)
         self.zones, self.kinds = zones, kinds
-        self.sharers = 1.0  # mean number of proxies that have an upstream of this home in theirs
+        self.overlap = 1.0  # mean number of proxies that have an upstream of this home in theirs
         self.draw_size = 0  # length of the part of `reach` that it draws from
         self.last_pick: Server | None = None  # the previous pick
         self.queue: RemovableQueue[Request] = RemovableQueue()
@@ -446,17 +446,17 @@
         if near < ready or pool.zones is not None:
             # The proxies of the zone are not known: golden-ratio steps spread any subset of them evenly.
             proxies, first = max(1, proxies // max(1, len(self.settings.zones))), int(me * GOLDEN_RATIO % 1 * near)
-        least = MIN_HOME if prices.connection > 0 else max(HOME_SIZES[0], min(HOME_SIZES[1], SHARERS * near // proxies))
+        least = MIN_HOME if prices.connection > 0 else max(HOME_SIZES[0], min(HOME_SIZES[1], OVERLAP * near // proxies))
         pool.set_subset(first, ready if self.uses_probes else min(near, max(least, -(-near // proxies))))
         pool.draw_size = pool.subset_size
-        pool.sharers = proxies * pool.subset_size / near if near else 1.0
-        self.uses_peers = self.may_report and proxies > 1 and message_cost(pool.sharers, prices.peer) <= MAX_PEER_PRICE
+        pool.overlap = proxies * pool.subset_size / near if near else 1.0
+        self.uses_peers = self.may_report and proxies > 1 and message_cost(pool.overlap, prices.peer) <= MAX_PEER_PRICE
 
     def refresh_placement(self, s: Server) -> Server:
-        """Return the upstream with `in_own_home`, `sharers` and `peers` up to date."""
+        """Return the upstream with `in_own_home`, `overlap` and `peers` up to date."""
         if s.placed_version != self.placement_version:
-            homes = [p.sharers for p in self.pools.values() if p.in_subset(s)]
-            s.placed_version, s.in_own_home, s.sharers = self.placement_version, bool(homes), max([1.0, *homes])
+            homes = [p.overlap for p in self.pools.values() if p.in_subset(s)]
+            s.placed_version, s.in_own_home, s.overlap = self.placement_version, bool(homes), max([1.0, *homes])
             index, config = self.default_pool.position(s) if self.uses_peers else None, self.settings
             s.peers = (
                 ()
@@ -507,7 +507,7 @@
         per_request = self.load_model.per_request_ns
         if not self.uses_probes and self.load_model.sums[0] < MIN_SAMPLES:
             per_request = max(per_request, self.unknown_latency_ns)  # a new proxy has no latency samples yet
-        capacity = SECOND / per_request / self.refresh_placement(server).sharers
+        capacity = SECOND / per_request / self.refresh_placement(server).overlap
         return int(SECOND / (COLD_BUDGET_SHARE * rules.fall_multiple * warm * capacity))
 
     def concurrency_limit(self, server: Server, now: int) -> int:
@@ -754,7 +754,7 @@
         if now - self.last_feedback_ns >= FEEDBACK_INTERVAL_NS:
             self._feedback(now)
         if self.changed_servers:
-            self._tell_peers(now)
+            self._report_to_peers(now)
         due = self.timers.next_ns()
         if due is not None and (not self.timer_due_ns or due < self.timer_due_ns):
             self.timer_due_ns = due
@@ -919,7 +919,7 @@
         if self.fleet.uses_peers:
             self.changed_servers[server.id] = server
 
-    def _tell_peers(self, now: int) -> None:
+    def _report_to_peers(self, now: int) -> None:
         """Report this proxy's load at the changed upstreams to the peers that share them, in one message each."""
         reports: dict[int, list[bytes]] = {}
         for s in self.changed_servers.values():
--- a/tests/test_arrangement.py
+++ b/tests/test_arrangement.py
@@ -8,7 +8,7 @@
 
 from lanemux import interface as api
 from lanemux.core.ring import hash_id
-from lanemux.policy import GOLDEN_RATIO, HOME_SIZES, MIN_HOME, SHARERS, Balancer
+from lanemux.policy import GOLDEN_RATIO, HOME_SIZES, MIN_HOME, OVERLAP, Balancer
 
 ZONES = ("east", "west", "north")
 KINDS = ("m", "xl")
@@ -86,7 +86,7 @@
     n, first = len(near), told.me * len(near) // proxies
     if n < len(pool) or cls.zones is not None:
         proxies, first = max(1, proxies // len(told.zones)), int(told.me * GOLDEN_RATIO % 1 * n)
-    least = MIN_HOME if told.prices.connection > 0 else max(HOME_SIZES[0], min(HOME_SIZES[1], SHARERS * n // proxies))
+    least = MIN_HOME if told.prices.connection > 0 else max(HOME_SIZES[0], min(HOME_SIZES[1], OVERLAP * n // proxies))
     home = len(pool) if looks else min(n, max(least, -(-n // proxies)))
     ring = scrambled(near, 0)
     ring = ring[first:] + ring[:first]
@@ -109,15 +109,15 @@
         own = set()
         for cls in told.classes.values():
             pool = fleet.pool_for(cls)
-            order, home, sharers = expected(told, cls, ready, fleet.uses_probes)
+            order, home, overlap = expected(told, cls, ready, fleet.uses_probes)
             assert ([s.id for s in pool.all()], pool.subset_size) == (order, home)
             assert [s.id for s in pool.candidates] == order[: home + 1]
             assert home <= pool.draw_size <= home + 1
             own |= set(order[:home])
-            shares |= {i: max(shares[i], sharers) for i in order[:home]}
+            shares |= {i: max(shares[i], overlap) for i in order[:home]}
         for number in ready:
             server = fleet.refresh_placement(fleet.servers[number])
-            assert (server.in_own_home, server.sharers) == (
+            assert (server.in_own_home, server.overlap) == (
                 number in own,
                 shares[number] if server.in_own_home else 1.0,
             )
--- a/tests/test_mending.py
+++ b/tests/test_mending.py
@@ -44,7 +44,7 @@
     (policy.Balancer, "_refuse"),
     (policy.Balancer, "_end"),
     (policy.Balancer, "_retry_or_refuse"),
-    (policy.Balancer, "_tell_peers"),
+    (policy.Balancer, "_report_to_peers"),
     (policy.Balancer, "_set_timer"),
     (policy.Balancer, "_on_overdue"),
 )
@@ -313,7 +313,7 @@
     proxy.arrive("quote", False)
     (call,) = proxy.calls.values()
     inject(
-        monkeypatch, (policy.Balancer, "_tell_peers"), True
+        monkeypatch, (policy.Balancer, "_report_to_peers"), True
     )  # the last step: everything else of the batch is recorded
     proxy.arrive("quote", False)
     proxy.check()
