--- a/lanemux/policy.py
+++ b/lanemux/policy.py
@@ -117,8 +117,8 @@
         return fresh and all(self._same_group(a.server, server) for a in risky)
 
     def may_refuse(self) -> bool:
-        everywhere = self.cls.effect is api.Effect.KEYED and self.cls.scope is api.Scope.ALL
-        return self.cls.effect is api.Effect.SAFE or everywhere or not any(a.may_have_run for a in self.attempts)
+        deduplicated = self.cls.effect is api.Effect.KEYED and self.cls.scope is api.Scope.ALL
+        return self.cls.effect is api.Effect.SAFE or deduplicated or not any(a.may_have_run for a in self.attempts)
 
     def _same_group(self, x: Server, y: Server) -> bool:
         if self.cls.scope is api.Scope.ALL:
@@ -433,8 +433,8 @@
 
     def _remove_gone(self) -> None:
         """Drop upstreams that are gone and have no attempt in flight, or memory would grow as lists change."""
-        for s in [s for s in self.leaving.values() if not s.inflight]:
-            del self.leaving[s.id], self.servers[s.id]
+        for server in [s for s in self.leaving.values() if not s.inflight]:
+            del self.leaving[server.id], self.servers[server.id]
 
     def _compute_home(self, pool: Pool) -> None:
         """Extension: compute the home, this proxy's section of a ring that all proxies compute alike.
@@ -455,8 +455,8 @@
     def refresh_placement(self, s: Server) -> Server:
         """Return the upstream with `in_own_home`, `overlap` and `peers` up to date."""
         if s.placed_version != self.placement_version:
-            homes = [p.overlap for p in self.pools.values() if p.in_subset(s)]
-            s.placed_version, s.in_own_home, s.overlap = self.placement_version, bool(homes), max([1.0, *homes])
+            overlaps = [p.overlap for p in self.pools.values() if p.in_subset(s)]
+            s.placed_version, s.in_own_home, s.overlap = self.placement_version, bool(overlaps), max([1.0, *overlaps])
             index, config = self.default_pool.position(s) if self.uses_peers else None, self.settings
             s.peers = (
                 ()
@@ -485,9 +485,9 @@
         server.peer_backoff_until_ns, self.backed_off[server.id] = now + report.avoid_ns, server
         return server
 
-    def is_cold(self, s: Server, now: int) -> bool:
+    def is_cold(self, server: Server, now: int) -> bool:
         """Whether the upstream started so recently that it lacks part of its capacity."""
-        return bool(s.entry.started_ns) and now - s.entry.started_ns < self.settings.rules.cold_ns
+        return bool(server.entry.started_ns) and now - server.entry.started_ns < self.settings.rules.cold_ns
 
     def warm_share(self, server: Server, now: int) -> float:
         """The smallest share of its capacity that it may have by now."""
@@ -496,9 +496,9 @@
         rules = self.settings.rules
         return rules.cold_from + (1 - rules.cold_from) * (now - server.entry.started_ns) / rules.cold_ns
 
-    def slowness(self, s: Server, now: int) -> float:
+    def slowness(self, server: Server, now: int) -> float:
         """Its latency relative to the fleet's; with peer reports, for a cold one at least what its warm-up implies."""
-        return max(s.latency_ratio, 1 / self.warm_share(s, now)) if self.uses_peers else s.latency_ratio
+        return max(server.latency_ratio, 1 / self.warm_share(server, now)) if self.uses_peers else server.latency_ratio
 
     def cold_interval_ns(self, server: Server, now: int) -> int:
         """Rule 4: the minimum time between sends to a cold upstream, so that all proxies that share it, together,
@@ -533,12 +533,12 @@
             length_ns = min(base_ns * 2 ** min(server.failure_streak - 1, 5), MAX_BACKOFF_NS)
             self.pause_until(server, now + int(length_ns * self.rng.uniform(0.75, 1.25)))
 
-    def _can_spare(self, s: Server, now: int) -> bool:
+    def _can_spare(self, server: Server, now: int) -> bool:
         self.backed_off = {o.id: o for o in self.backed_off.values() if o.free_ns() > now}
         return all(
             sum(p.draws_from(o) for o in self.backed_off.values()) < 0.7 * p.draw_size
             for p in self.pools.values()
-            if p.draws_from(s)
+            if p.draws_from(server)
         )
 
     def pause_until(self, server: Server, until_ns: int) -> None:
@@ -562,11 +562,11 @@
     def decay_reset_counts(self) -> None:
         """Decay the reset counts."""
         self.recent_attempts = self.recent_resets = 0.0
-        for s in self.servers.values():
-            s.recent_attempts *= RESET_DECAY
-            s.recent_resets *= RESET_DECAY
-            self.recent_attempts += s.recent_attempts
-            self.recent_resets += s.recent_resets
+        for server in self.servers.values():
+            server.recent_attempts *= RESET_DECAY
+            server.recent_resets *= RESET_DECAY
+            self.recent_attempts += server.recent_attempts
+            self.recent_resets += server.recent_resets
 
     def average_load(self, now: int) -> float | None:
         """Mean requests at an upstream, by the last reports; None if nothing is known."""
@@ -788,33 +788,33 @@
             "tenants": {n: [t.rate, t.counter - t.hold_capacity, t.demand] for n, t in self.throttles.items()},
         }
 
-    def _recover(self, calls: Mapping[str, api.HeldRequest], now: int) -> None:
+    def _recover(self, open_requests: Mapping[str, api.HeldRequest], now: int) -> None:
         """Resynchronize with the requests that the proxy really holds, after an exception lost a batch.
         Without it, lost sends would count as in flight for ever, requests would end only at their deadline, and no
         timer would fire again."""
         self.timer_due_ns = 0  # its SetTimer action may have been lost
-        for s in self.fleet.servers.values():
-            s.inflight = 0
+        for server in self.fleet.servers.values():
+            server.inflight = 0
         for pool in self.fleet.pools.values():
             pool.queue = RemovableQueue()
         for t in self.throttles.values():
-            for r in [r for r in t.held if r.id not in calls or r.waiting_in != "held"]:
+            for r in [r for r in t.held if r.id not in open_requests or r.waiting_in != "held"]:
                 t.remove(r)
         known, self.requests = self.requests, {}
         for r in known.values():
             self._cancel_timer(r.give_up_timer)
-            call = calls.get(r.id) if not r.ended else None
+            state = open_requests.get(r.id) if not r.ended else None
             for a in [a for a in r.attempts if a.result is None]:
-                if call is not None and call.in_flight and a is r.attempts[: call.sends][-1]:
+                if state is not None and state.in_flight and a is r.attempts[: state.sends][-1]:
                     a.server.inflight += not r.answer_begun_ns
                 else:
                     a.record_result(api.Result.CANCELLED, self.settings.rules)
                     self._cancel_timer(a.overdue_timer)
-            if call is not None:
-                del r.attempts[call.sends :]  # the others were never sent
+            if state is not None:
+                del r.attempts[state.sends :]  # the others were never sent
                 self.requests[r.id] = r
-        for name in [name for name in calls if name not in self.requests]:
-            self.actions.append(api.Fail(name) if calls[name].sends else api.Refuse(name))
+        for name in [name for name in open_requests if name not in self.requests]:
+            self.actions.append(api.Fail(name) if open_requests[name].sends else api.Refuse(name))
         for r in list(self.requests.values()):
             self._requeue(r, now)
 
@@ -839,8 +839,8 @@
         Drawback: an upstream that stalled at the same time is noticed one attempt later."""
         for r in self.requests.values():
             r.stalled = r.delayed = True
-        for s in self.fleet.servers.values():
-            s.inflight_since_ns = now  # the stall must not count as time in which nothing completed
+        for server in self.fleet.servers.values():
+            server.inflight_since_ns = now  # the stall must not count as time in which nothing completed
 
     def _set_timer(self, at: int, kind: str, subject: Request | Throttle | None = None, number: int = 0) -> Timer[Due]:
         return self.timers.set(at, (kind, subject, number))
