--- a/lanemux/admin/calls.py
+++ b/lanemux/admin/calls.py
@@ -20,8 +20,8 @@
     def knows(self, host: str) -> bool:
         """Whether this upstream is in the list or cordoned."""
 
-    def cordon(self, host: str, out: bool) -> bool:
-        """Cordon or uncordon the upstream, effective now; return False if the change can't be stored."""
+    def cordon(self, host: str, cordoned: bool) -> bool:
+        """Cordon (`cordoned`) or uncordon the upstream at once; return False if the change can't be stored."""
 
 
 class Frontend(Protocol):
--- a/lanemux/core/peer_report.py
+++ b/lanemux/core/peer_report.py
@@ -1,4 +1,4 @@
-"""The wire format of peer reports: what balancers tell one another about an upstream, in 7 bytes per report.
+"""The wire format of peer reports: what balancers report to one another about an upstream, in 7 bytes per report.
 
 No I/O and no clock.
 """
@@ -13,7 +13,7 @@
 MAX_ID = 2**32 - 1  # highest upstream id that the format can hold
 LAST_OK_BIT = 128  # bit of the third field: the sender's last attempt at the upstream succeeded
 MAX_IN_FLIGHT = 127  # largest count that the other bits hold; any more means no more than that the upstream is full
-AVOID_STEP_NS = 25_000_000  # blocks of at most three seconds fit; the rounding is within a message's delay
+AVOID_STEP_NS = 25_000_000  # backoffs of up to three seconds fit; the rounding is within a message's delay
 MAX_DATAGRAM = 256  # bytes: the size limit of a message, and the unit of its price (protocol page)
 REPORTS_PER_DATAGRAM = MAX_DATAGRAM // REPORT_FORMAT.size
 
--- a/lanemux/core/source.py
+++ b/lanemux/core/source.py
@@ -1,4 +1,4 @@
-"""The interface of list sources, which tell the balancer which upstreams exist."""
+"""The interface of list sources, from which a balancer gets its upstreams."""
 
 from __future__ import annotations
 
--- a/lanemux/etcd/change_queue.py
+++ b/lanemux/etcd/change_queue.py
@@ -18,7 +18,7 @@
 
 MAX_VALUE_BYTES = 64 * 1024  # a row has some 200
 MAX_HOST_BYTES = 255  # of a host's name
-REMOVAL_DELAY_NS = 30 * SECOND  # how long an upstream is kept that a rolled back store does not list
+REMOVAL_DELAY_NS = 30 * SECOND  # before an upstream is removed that a rolled back store does not list
 URGENT_MARKERS = (b"drain", b"removed")  # a value with one of them may drain or remove; parsing decides
 
 
@@ -31,7 +31,7 @@
         self._normal: dict[str, KeyValue] = {}
         self._revisions: dict[str, int] = {}  # of each host known from etcd: that of its latest value
         self._listed: set[str] = set()  # hosts in the list that is being read
-        self._removal_times: dict[str, int] = {}  # host -> when it counts as removed
+        self._removal_times: dict[str, int] = {}  # host -> when it will be removed
         self.complete = False  # a complete list has been read
 
     @property
@@ -132,7 +132,7 @@
         # A waiting removal is not overwritten: another upstream may follow under the same name.
         if self._urgent.get(host, item) is not None:
             self._urgent.pop(host, None)
-            if len(value) <= MAX_VALUE_BYTES and any(word in value for word in URGENT_MARKERS):
+            if len(value) <= MAX_VALUE_BYTES and any(marker in value for marker in URGENT_MARKERS):
                 self._normal.pop(host, None)
                 self._urgent[host] = item
                 return
--- a/lanemux/etcd/follower.py
+++ b/lanemux/etcd/follower.py
@@ -162,7 +162,9 @@
 
 
 class State(Enum):
-    RESTING = "resting"
+    """What the follower is doing."""
+
+    BACKING_OFF = "resting"  # no call is in progress; the next one starts at `due_ns`
     LISTING = "listing"
     OPENING = "opening"
     WATCHING = "watching"
@@ -172,7 +174,7 @@
     """Follows one list. It needs a Tick at `due_ns` at the latest."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.state = State.RESTING
+        self.state = State.BACKING_OFF
         self.due_ns = 0
         self.cluster: int | None = None  # of the last complete list
         self.highest_revision = 0  # of a complete list or of a change to it
@@ -200,7 +202,7 @@
                 return self._on_progress(now, event)
             case WatchCancelled() if self.state in (State.OPENING, State.WATCHING):
                 return self._on_cancelled(now, event)
-            case Failed() if self.state is not State.RESTING:
+            case Failed() if self.state is not State.BACKING_OFF:
                 return self._fail(now, event.reason)
             case Tick():
                 return self._on_tick(now)
@@ -337,14 +339,14 @@
 
     def _back_off(self, now: int) -> list[Action]:
         backoff_ns = min(MAX_BACKOFF_NS, MIN_BACKOFF_NS * 2 ** min(self._failures - 1, 10))
-        self.state, self.due_ns = State.RESTING, now + int(backoff_ns * self._rng.uniform(0.5, 1.5))
+        self.state, self.due_ns = State.BACKING_OFF, now + int(backoff_ns * self._rng.uniform(0.5, 1.5))
         return []
 
     def _on_tick(self, now: int) -> list[Action]:
         if now < self.due_ns:
             return []
         match self.state:
-            case State.RESTING:
+            case State.BACKING_OFF:
                 return self._open_watch(now) if self.resume_revision else self._start_list(now)
             case State.LISTING:
                 return self._fail(now, "no answer to a list")
--- a/lanemux/etcd/source.py
+++ b/lanemux/etcd/source.py
@@ -48,8 +48,8 @@
     target: Target
     system: System = field(default_factory=Machine)
 
-    def __call__(self, membership: Membership, rng: random.Random, heard: ListingCallback) -> EtcdSource:
-        return EtcdSource(self.target, membership, rng, heard, self.system)
+    def __call__(self, membership: Membership, rng: random.Random, on_listing: ListingCallback) -> EtcdSource:
+        return EtcdSource(self.target, membership, rng, on_listing, self.system)
 
 
 class EtcdSource:
@@ -60,10 +60,10 @@
         target: Target,
         membership: Membership,
         rng: random.Random,
-        heard: ListingCallback,
+        on_listing: ListingCallback,
         system: System | None = None,
     ) -> None:
-        self._deliver = heard
+        self._deliver = on_listing
         self._system = system or Machine()
         self._target = target
         self._membership = membership
@@ -107,7 +107,7 @@
         self._running = False
         call = self._call
         self._end_call()
-        self._call = call  # cancelled; `stopped` waits for its end
+        self._call = call  # cancelled; `wait_stopped` waits for its end
         if self._client is not None:
             self._client.close()
         for handle in (self._timer, self._delivery):
--- a/lanemux/fleet/election_wire.py
+++ b/lanemux/fleet/election_wire.py
@@ -7,8 +7,8 @@
 from lanemux.fleet.election import Ballot, ElectionMessage, MessageKind
 from lanemux.fleet.wire import MAGIC, NO_MEMBER, VERSION, BadMessage
 
-FORMAT = struct.Struct(">BBBBHIHIIHI")  # a length that no message of the decision modules (`core/words.py`) has
-KIND_OFFSET = 2  # offset of the byte that tells the kind of a fleet message
+FORMAT = struct.Struct(">BBBBHIHIIHI")  # its size is no multiple of a peer report's
+KIND_OFFSET = 2  # offset of the byte with the kind of a fleet message
 
 
 def is_election_message(data: bytes) -> bool:
--- a/lanemux/fleet/leader_query.py
+++ b/lanemux/fleet/leader_query.py
@@ -3,8 +3,8 @@
 Only the leader's own answer counts: "I lead, for this much longer". That time is counted from before the query was sent
 and shortened by the largest difference of clock rates, so a late answer is worth less, a duplicate adds nothing, and
 the tracker's knowledge expires before the lease does. A voter that does not lead names the leader that it accepted,
-which only tells whom to query next. One query is outstanding at a time; the leader gets one or two queries of each
-balancer per term.
+which only determines the voter to query next. One query is outstanding at a time; the leader gets one or two queries
+of each balancer per term.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 MS = 1_000_000
 ANSWER_TIMEOUT_NS = 150 * MS  # answers take up to 66 ms on the platform; then another voter is queried
 RENEWAL_ATTEMPTS = 2  # unanswered queries that fit in before the known lease expires
-MAX_PAUSE_FRACTION = 0.3  # of a term: bound of the random pause when nobody leads or no voter answers
-# Magic, version, kind, padding, query, leader, remaining ms, padding: a length that no message of the decision modules
-# (`core/words.py`) has.
+MAX_PAUSE_FRACTION = 0.3  # of a term: bound of the random pause when there is no leader or no voter answers
+# Magic, version, kind, padding, query, leader, remaining ms, padding: its size is no multiple of a peer report's
+# (`core/peer_report.py`).
 FORMAT = struct.Struct(">BBBBIHIB")
-KIND_OFFSET = 2  # offset of the byte that tells the kind of a fleet message
+KIND_OFFSET = 2  # offset of the byte with the kind of a fleet message
 
 
 class Kind(IntEnum):
     """Kinds of leader messages, numbered above those of `wire` and `election`."""
 
-    QUERY = 32  # asks who leads
+    QUERY = 32  # asks for the leader
     ANSWER = 33  # to the query of that number
 
 
@@ -75,7 +75,7 @@
 
 
 class LeaderTracker:
-    """Tracks the leader for a balancer that is no voter. Feed it messages and ticks, send `outbox`, query `leader`."""
+    """Tracks the leader for a balancer that is no voter. Feed it messages and ticks, send `outbox`, read `leader`."""
 
     def __init__(self, me: int, council: Sequence[int], term_ns: int, rng: random.Random, now: int) -> None:
         """Raises ValueError if the council is empty or `me` is in it."""
--- a/lanemux/fleet/members.py
+++ b/lanemux/fleet/members.py
@@ -32,7 +32,7 @@
 PERIOD_NS = 500 * MS  # between two probes of one member: with about three messages each, some 2 kB/s
 ANSWER_TIMEOUT_NS = 150 * MS  # answers take up to 66 ms on the platform; then come indirect probes
 MAX_HELPERS = 3  # members that are asked to probe one that does not answer
-ANNOUNCE_FANOUT = 6  # members that are told at once of a leave or a refuted suspicion
+ANNOUNCE_FANOUT = 6  # members that are notified at once of a leave or a refuted suspicion
 # Shortest suspicion: so many periods times log10 of the fleet's size; unconfirmed it lasts longer by the factor.
 MIN_SUSPICION_PERIODS, MAX_SUSPICION_FACTOR = 5.0, 3.0
 MAX_CONFIRMATIONS = 3  # members suspecting the same one, at which the suspicion is shortest
@@ -40,7 +40,7 @@
 MAX_SLOWNESS = 8  # Lifeguard's bound on how far a slow process stretches its own timeouts
 SYNC_EVERY = 16  # periods between two exchanges of tables, which repair missed updates
 GONE_PROBE_EVERY = 8  # of so many probes one goes to a member that is gone: heals a network partition
-STANDSTILL_NS = 250 * MS  # a tick this late: the process itself was suspended, and missing answers do not count
+SUSPENSION_NS = 250 * MS  # a tick this late: the process itself was suspended, and missing answers do not count
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
         self._max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log2(count + 1))
         self._order: list[int] = []  # members still to probe in this round
         self._probe: Probe | None = None
-        self._relayed_probes: dict[int, tuple[int, int, int, int]] = {}  # (asker, its sequence, target, deadline)
+        self._relayed_probes: dict[int, tuple[int, int, int, int]] = {}  # (requester, its sequence, target, deadline)
         self._sequence = rng.getrandbits(16)
         self._probe_count = 0
         self._gossip_queue: dict[int, None] = {}  # members whose updates are still to be passed on, as an ordered set
@@ -138,23 +138,23 @@
     def tick(self, now: int) -> None:
         """Advance to `now`."""
         late = now - self._probe_due_ns
-        if late > STANDSTILL_NS:
-            self._on_standstill(late, now)
+        if late > SUSPENSION_NS:
+            self._on_suspension(late, now)
         if self._probe is not None:
             self._check_probe(self._probe, now)
         for number in [n for n in self._suspects if now >= self._suspicion_end_ns(self.members[n])]:
             member = self.members[number]
             self._apply(Update(number, Status.GONE, member.incarnation, self.me), now)
-        for sequence, (asker, asker_sequence, target, deadline_ns) in list(self._relayed_probes.items()):
+        for sequence, (requester, requester_sequence, target, deadline_ns) in list(self._relayed_probes.items()):
             if now >= deadline_ns:
                 del self._relayed_probes[sequence]
-                self._send(asker, Kind.NACK, asker_sequence, target)
+                self._send(requester, Kind.NACK, requester_sequence, target)
         if now >= self._next_probe_ns:
             self._next_probe_ns = now + PERIOD_NS * (1 + self.slowness)
             self._start_probe(now)
 
     def leave(self) -> None:
-        """Orderly shutdown: tell a few members, which pass it on."""
+        """Orderly shutdown: notify a few members, which pass it on."""
         self.leaving = True
         self._announce()
 
@@ -314,7 +314,7 @@
         )
         return member.suspected_ns + int(max(shortest, longest - (longest - shortest) * confirmation_ratio))
 
-    def _on_standstill(self, duration_ns: int, now: int) -> None:
+    def _on_suspension(self, duration_ns: int, now: int) -> None:
         """This process was suspended: answers missing in that time say nothing about others."""
         self._probe = None
         self._relayed_probes.clear()
--- a/lanemux/fleet/view.py
+++ b/lanemux/fleet/view.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000_000
-W = TypeVar("W")
+Decoded = TypeVar("Decoded")
 MAX_LOG_LINES_PER_SECOND = 8  # further changes are only counted
 
 
@@ -69,7 +69,7 @@
         elif self.voter is not None and message.kind is leader_query.Kind.QUERY and sender not in self.council:
             self._answers.append((sender, leader_query.encode(leader_query.answer_query(self.voter, message, now))))
 
-    def _decode(self, decode: Callable[[bytes], W], data: bytes) -> W | None:
+    def _decode(self, decode: Callable[[bytes], Decoded], data: bytes) -> Decoded | None:
         try:
             return decode(data)
         except BadMessage:
--- a/lanemux/fleet/wire.py
+++ b/lanemux/fleet/wire.py
@@ -1,7 +1,8 @@
 """Encoding of the membership messages between balancers. No I/O and no clock.
 
-A message begins with MAGIC, VERSION and its kind, and its length is no multiple of a word's (`core/peer_report.py`): a
-balancer of an older version, which knows words alone, ignores it. All numbers are unsigned and big-endian.
+A message begins with MAGIC, VERSION and its kind, and its length is no multiple of a peer report's
+(`core/peer_report.py`): a balancer of an older version, which knows only peer reports, ignores it.
+All numbers are unsigned and big-endian.
 """
 
 from __future__ import annotations
@@ -11,8 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from lanemux.core.peer_report import MAX_DATAGRAM as MESSAGE
-from lanemux.core.peer_report import REPORT_FORMAT as WORD
+from lanemux.core.peer_report import MAX_DATAGRAM, REPORT_FORMAT
 
 MAGIC, VERSION = 0xF1, 1
 HEADER = struct.Struct(">BBBBIIBIHHB")
@@ -20,7 +20,7 @@
 MAX_NUMBER = 2**16 - 2  # of a balancer: its index in the configured peers
 NO_MEMBER = 2**16 - 1
 MAX_INCARNATION = 2**32 - 1
-MAX_UPDATES = (MESSAGE - HEADER.size - 1) // UPDATE.size  # one byte is reserved to pad the length
+MAX_UPDATES = (MAX_DATAGRAM - HEADER.size - 1) // UPDATE.size  # one byte is reserved to pad the length
 
 
 class Status(IntEnum):
@@ -86,7 +86,7 @@
         ]
         parts += [UPDATE.pack(*update) for update in self.updates]
         data = b"".join(parts)
-        return data + b"\0" if len(data) % WORD.size == 0 else data
+        return data + b"\0" if len(data) % REPORT_FORMAT.size == 0 else data
 
 
 class BadMessage(ValueError):
@@ -95,7 +95,7 @@
 
 def decode(data: bytes) -> Message:
     """Decode a datagram. Raises BadMessage with a reason if it is no membership message."""
-    if len(data) < HEADER.size or len(data) > MESSAGE or len(data) % WORD.size == 0:
+    if len(data) < HEADER.size or len(data) > MAX_DATAGRAM or len(data) % REPORT_FORMAT.size == 0:
         raise BadMessage(f"{len(data)} bytes are no membership message")
     magic, version, kind, count, boot_id, incarnation, receiver_status, receiver_incarnation, sequence, subject, _ = (
         HEADER.unpack_from(data)
--- a/lanemux/net/admission.py
+++ b/lanemux/net/admission.py
@@ -14,13 +14,13 @@
     def end_accepting(self, accepted: int, now: int) -> None:
         """Accepting ends, with `accepted` new connections."""
 
-    def opened(self, source: str, who: object) -> None:
+    def opened(self, source: str, connection: object) -> None:
         """A connection was opened; the client has sent nothing yet."""
 
-    def became_active(self, source: str, who: object) -> None:
+    def became_active(self, source: str, connection: object) -> None:
         """The client has sent its first data."""
 
-    def closed(self, source: str, who: object) -> None:
+    def closed(self, source: str, connection: object) -> None:
         """The connection is closed, which frees its slot."""
 
     def victim(self, source: str) -> object | None:
--- a/lanemux/net/client_connection.py
+++ b/lanemux/net/client_connection.py
@@ -149,7 +149,7 @@
         unread_ns, first = self._time_unread_ns(), self._is_first_request
         self._is_first_request = False
         if (first or unread_ns) and self._peer_has_closed():
-            self.close()  # the client left while its request was unread: nobody waits for the response
+            self.close()  # the client left while its request was unread: no one is left to respond to
             return
         received_ns -= unread_ns
         self._current = request
--- a/lanemux/net/frontend.py
+++ b/lanemux/net/frontend.py
@@ -32,12 +32,12 @@
 
     @property
     def ready(self) -> bool:
-        """Should clients connect to this balancer?"""
+        """Whether clients should connect to this balancer."""
         return self.readiness.accepting and self._loop.time() >= self._not_ready_until_s
 
     @property
     def refusing(self) -> bool:
-        """Are requests refused at once?"""
+        """Whether requests are refused at once."""
         return self.readiness.phase is Phase.QUIESCED
 
     def delay_readiness(self, for_s: float) -> None:
--- a/lanemux/net/node.py
+++ b/lanemux/net/node.py
@@ -156,7 +156,7 @@
 
     @property
     def ready(self) -> bool:
-        """Does the readiness check succeed?"""
+        """Whether the readiness check succeeds."""
         return self.frontend.ready
 
     @property
@@ -407,7 +407,7 @@
         attempt_number = active.sends if active is not None else 0
         pool = self._pool_manager.pools.get(action.upstream)
         # The timeout counts from the decision: a stall of the process since then must not push it past the deadline, or
-        # the module would hear of it too late.
+        # the module would be notified too late.
         end = active.deadline_ns - NODE_DEADLINE_MARGIN_NS if active is not None else now
         if action.timeout_ns:
             end = min(end, self._module_runner.decided_ns + action.timeout_ns)
--- a/lanemux/net/upstream_set.py
+++ b/lanemux/net/upstream_set.py
@@ -43,7 +43,7 @@
         self.membership = Membership(offset_ns)  # the rows as last received
         self._addresses = AddressConflicts()
         self._cordons = Cordons(offset_ns, config.settings.rules.cold_ns)
-        self.persist_cordon: Callable[[CordonRecord], bool] = lambda word: True  # True if stored for the other process
+        self.persist_cordon: Callable[[CordonRecord], bool] = lambda record: True  # True: stored for the other process
         self.source = (source or self._make_discovery)(
             self.membership, random.Random(config.seed + 1), self.apply_listing
         )
@@ -108,25 +108,25 @@
         return sum(host in self.membership.hosts for host in self._cordons.cordoned_hosts)
 
     def knows(self, host: str) -> bool:
-        """Is this upstream listed or cordoned?"""
+        """Whether this upstream is listed or cordoned."""
         return host in self.membership.hosts or self._cordons.is_cordoned(host)
 
-    def cordon(self, host: str, out: bool) -> bool:
-        """Cordon an upstream (`out`) or lift its cordon; returns False if that can't be stored."""
-        if self._cordons.is_cordoned(host) is out:
+    def cordon(self, host: str, cordoned: bool) -> bool:
+        """Cordon an upstream (`cordoned`) or lift its cordon; returns False if that can't be stored."""
+        if self._cordons.is_cordoned(host) is cordoned:
             known = self._cordons.record(host)
             return known is None or self.persist_cordon(known)  # storing it may have failed the first time
-        word = self._cordons.new_record(host, out, self._wall_ns())
+        record = self._cordons.new_record(host, cordoned, self._wall_ns())
         if not self._cordons.has_room(host):
             return False
-        self.apply_cordon(word)
-        return self.persist_cordon(word)
-
-    def apply_cordon(self, word: CordonRecord) -> None:
-        """Apply an operator's command, given to this process or to the other process of this balancer."""
-        if self._cordons.apply(word):
-            log.info("operators: %.80s is %s", word.host, "cordoned" if word.cordoned else "uncordoned")
-            entries = self._update_pools([e for e in self._addresses.entries() if e.host == word.host])
+        self.apply_cordon(record)
+        return self.persist_cordon(record)
+
+    def apply_cordon(self, record: CordonRecord) -> None:
+        """Apply an operator's cordon or uncordon, given to this process or to the other process of this balancer."""
+        if self._cordons.apply(record):
+            log.info("operators: %.80s is %s", record.host, "cordoned" if record.cordoned else "uncordoned")
+            entries = self._update_pools([e for e in self._addresses.entries() if e.host == record.host])
             if entries:
                 self._on_update(api.ListUpdate(api.ListKind.DELTA, [e.upstream for e in entries]))
 
--- a/lanemux/takeover/pace.py
+++ b/lanemux/takeover/pace.py
@@ -3,7 +3,7 @@
 Both versions share one CPU quota. If the new one exceeds it in one burst, the system throttles both until the quota
 has recovered. With sleeps only between imports (the decision modules and their types take 30 and 20 ms each), the
 old version stalled for 60 to 85 ms at every takeover under load. Sometimes its clients then retried all at once, and
-60 requests arrived on connections that nobody read.
+60 requests arrived on connections that neither process read.
 Cost: the start takes up to MAX_TOTAL_SLEEP_S longer; the platform allows 6 s.
 """
 
