--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -218,8 +218,8 @@
             results: list[bool] = [False, True]
             reported: list[CordonRecord] = []
 
-            def keep(word: CordonRecord) -> bool:
-                reported.append(word)
+            def keep(record: CordonRecord) -> bool:
+                reported.append(record)
                 return results[len(reported) - 1]
 
             client.node.upstream_set.persist_cordon = keep
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -155,9 +155,9 @@
 
         def say() -> None:
             for server in fleet.default_pool.candidates[: fleet.default_pool.subset_size]:
-                word = struct.pack(">IBBB", server.id, next(numbers) % 256, held, 0)
+                report = struct.pack(">IBBB", server.id, next(numbers) % 256, held, 0)
                 for peer in fleet.refresh_placement(server).peers:
-                    self._tell(liar, api.SendToPeer(word, peer))
+                    self._send_to_peer(liar, api.SendToPeer(report, peer))
             if self.now < end:
                 self.at(self.now + every_ns, say)
 
@@ -196,7 +196,7 @@
                 self.refused_by[i] += 1
                 self._turned_away(i, action.request, getattr(action, "retry_after_ns", 0))
             elif isinstance(action, api.SendToPeer):
-                self._tell(i, action)
+                self._send_to_peer(i, action)
             elif isinstance(action, api.Probe):
                 self.at(self.now + LOOK_NS, lambda upstream=action.upstream: self._look(i, upstream))  # type: ignore[misc]
 
@@ -261,7 +261,7 @@
         self.ended["late"] += not in_time
         return in_time
 
-    def _tell(self, i: int, action: api.SendToPeer) -> None:
+    def _send_to_peer(self, i: int, action: api.SendToPeer) -> None:
         self.told += 1
         peer = (action.peer * 7 + 3) % len(self.balancers) if i in self._misplaced else action.peer
         event = api.PeerMessage(i, action.data)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -78,8 +78,8 @@
             me.tick(self.now)
             self._after(i)
 
-    def _heard(self, i: int, sender: int, data: bytes) -> None:
-        if i in self.members and self._awake(i, lambda: self._heard(i, sender, data)):
+    def _deliver(self, i: int, sender: int, data: bytes) -> None:
+        if i in self.members and self._awake(i, lambda: self._deliver(i, sender, data)):
             self.members[i].receive(sender, data, self.now)
             self._after(i)
 
@@ -91,7 +91,7 @@
             for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
                 if self.rng.random() >= self.loss_rate and not self.cut(i, to):
                     late = self.rng.randrange(MS, self.max_delay_ns)
-                    self.at(self.now + late, lambda to=to, data=data: self._heard(to, i, data))  # type: ignore[misc]
+                    self.at(self.now + late, lambda to=to, data=data: self._deliver(to, i, data))  # type: ignore[misc]
         me.outbox.clear()
         self.seen += [(self.now, i, change.number, change.status) for change in me.changes]
         me.changes.clear()
