--- a/tests/rehearsal/broken/floods_cold.py
+++ b/tests/rehearsal/broken/floods_cold.py
@@ -15,7 +15,7 @@
     return max(new, key=lambda s: s.entry.started_ns, default=None) or pick(self, pool, now, allowed)
 
 
-def never_cold(self: Any, s: Server, now: int) -> bool:
+def never_cold(self: Any, server: Server, now: int) -> bool:
     return False
 
 
