--- a/bench/back.py
+++ b/bench/back.py
@@ -29,7 +29,7 @@
 STEP_NS = 50 * MS
 RESTED_S = (0.4, 0.5)  # a new process gets its first request so long after its start
 TENANTS = {name: api.Tenant(name, share) for name, share in (("ash", 0.5), ("birch", 0.3), ("cedar", 0.2))}
-LOOKS = {
+PROBING_SETTINGS = {
     "tenants": TENANTS,
     "prices": api.Prices(probe=0.002),
     "limits": api.Limits(max_attempts=5, may_cancel=True, probes=True, retry_after=True),
@@ -38,7 +38,7 @@
 
 def fleet(seed: int, proxies: int = 1, clients: Clients | None = None) -> Fleet:
     """Balancers that ask upstreams for their load, as on the site, over upstreams that are about half busy."""
-    return Fleet(proxies, BOXES, seed, work_ns=WORK_NS, clients=clients, told=LOOKS)
+    return Fleet(proxies, BOXES, seed, work_ns=WORK_NS, clients=clients, told=PROBING_SETTINGS)
 
 
 def back_s(played: Fleet, i: int, since_ns: int, window_ns: int = SECOND) -> float:
--- a/bench/simulate.py
+++ b/bench/simulate.py
@@ -26,13 +26,13 @@
 from tests.virtual.planted import PLANTED, ROOT, STORMS, Planted, plant
 
 MOST_SEEDS = 2000
-ANOTHER_DAY_S = 400 * 86_400
+DATE_SHIFT_S = 400 * 86_400
 # Starts `simulate` with a clock that tells another day to whoever asks for the date.
-ANOTHER_DAY = f"""
+SHIFTED_DATE_LAUNCHER = f"""
 import sys, time
 real_s, real_ns = time.time, time.time_ns
-time.time = lambda: real_s() + {ANOTHER_DAY_S}
-time.time_ns = lambda: real_ns() + {ANOTHER_DAY_S} * 10**9
+time.time = lambda: real_s() + {DATE_SHIFT_S}
+time.time_ns = lambda: real_ns() + {DATE_SHIFT_S} * 10**9
 from lanemux.virtual.command import main
 sys.exit(main(sys.argv[1:]))
 """
@@ -77,7 +77,7 @@
 def replay(seeds: int) -> None:
     found: list[dict[str, Any]] = []
     with tempfile.TemporaryDirectory() as folder:
-        for hash_seed, launcher in (("1", ""), ("2", ""), ("3", ANOTHER_DAY)):
+        for hash_seed, launcher in (("1", ""), ("2", ""), ("3", SHIFTED_DATE_LAUNCHER)):
             report = Path(folder) / f"{hash_seed}.json"
             _simulate(
                 ROOT,
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -24,7 +24,7 @@
 
 
 KINDS = {  # how it learns of spare capacity: by probes, or only by its own outcomes
-    "looks": back.LOOKS,
+    "looks": back.PROBING_SETTINGS,
     "outcomes": {
         "tenants": back.TENANTS,
         "prices": api.Prices(probe=0.12),
--- a/tests/virtual/test_seeds.py
+++ b/tests/virtual/test_seeds.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from pathlib import Path
 
-from bench.simulate import ANOTHER_DAY
+from bench.simulate import SHIFTED_DATE_LAUNCHER
 from lanemux.virtual.command import run_seed, run_seeds
 from lanemux.virtual.script import FAULTS, STORM_ONLY, draw, setting
 from tests.virtual.planted import ROOT
@@ -45,7 +45,7 @@
 def test_a_seed_is_one_history_in_any_process_and_on_any_day(tmp_path: Path) -> None:
     here = histories("1", tmp_path / "a", "-m", "lanemux", "simulate")
     assert {setting(int(seed)).scenario.discovery.source for seed in here} == {"agent", "etcd"}
-    assert histories("2", tmp_path / "b", "-c", ANOTHER_DAY) == here
+    assert histories("2", tmp_path / "b", "-c", SHIFTED_DATE_LAUNCHER) == here
     assert run_seed(3).digest == here["3"]  # also in a process that has played others
     assert len(set(here.values())) == len(here)
 
