--- a/bench/programs/__init__.py
+++ b/bench/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Programs to hold the balancer against: its own sockets, and textbook decisions in place of its module."""
+"""Programs to compare the balancer with: its own network code with textbook policies in place of its policy."""
--- a/bench/programs/crowd.py
+++ b/bench/programs/crowd.py
@@ -1,9 +1,9 @@
-"""The boxes' one server and the clients of `bench.etcd_follow`, in a process of their own.
+"""The fake boxes (one server) and the clients of `bench.etcd_follow`, in a process of their own.
 
     python -m bench.programs.crowd PORT RATE SECONDS
 
-Prints the boxes' port, waits for a line, sends requests to the balancer's port, and prints [when, seconds] of each
-answer.
+Prints the boxes' port, waits for a line on standard input, sends requests to the balancer's port, and prints
+[time in ns, seconds taken] of each answer with status 200.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 HOST = "127.0.0.1"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 REPORT = b'HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n{"inflight":0,"queue":0}'
-Idle = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]
+IdleConnections = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """All boxes: whatever is asked is answered at once."""
+    """Answer every request at once, for all boxes."""
     try:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -30,35 +30,37 @@
         writer.close()
 
 
-async def ask(port: int, name: str, idle: Idle, answered: list[tuple[int, float]]) -> None:
+async def send_request(port: int, request_id: str, idle: IdleConnections, answered: list[tuple[int, float]]) -> None:
+    """Send one request on an idle or new connection, and record its answer."""
     began = time.monotonic()
     try:
         reader, writer = idle.pop() if idle else await asyncio.open_connection(HOST, port)
         writer.write(
-            f"GET /read/1 HTTP/1.1\r\nHost: x\r\nReq-Id: {name}\r\nReq-Owner: a\r\n"
+            f"GET /read/1 HTTP/1.1\r\nHost: x\r\nReq-Id: {request_id}\r\nReq-Owner: a\r\n"
             "Req-Deadline-Ms: 2000\r\n\r\n".encode()
         )
         head = await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0]))
     except (OSError, asyncio.IncompleteReadError):
-        return  # a connection that was closed for its age
+        return  # the balancer closed the connection because of its age
     if head.split()[1] == b"200":
         answered.append((time.monotonic_ns(), time.monotonic() - began))
     idle.append((reader, writer))
 
 
 async def main(port: int, rate: float, seconds: float) -> None:
+    """Serve the boxes, then send requests at random intervals for this time."""
     server = await asyncio.start_server(serve, HOST, 0)
     print(server.sockets[0].getsockname()[1], flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
-    rng, idle, answered = random.Random(1), Idle(), list[tuple[int, float]]()
+    rng, idle, answered = random.Random(1), IdleConnections(), list[tuple[int, float]]()
     at = time.monotonic()
     end, tasks, count = at + seconds, set[asyncio.Task[None]](), 0
     while at < end:
         at += rng.expovariate(rate)
         await asyncio.sleep(max(0.0, at - time.monotonic()))
         count += 1
-        task = asyncio.create_task(ask(port, f"{count:016x}", idle, answered))
+        task = asyncio.create_task(send_request(port, f"{count:016x}", idle, answered))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     await asyncio.gather(*tasks)
--- a/bench/programs/least_connections.py
+++ b/bench/programs/least_connections.py
@@ -1,5 +1,5 @@
-"""Every request to the upstream that holds the fewest of this balancer's, a random one of those."""
+"""Least connections: the upstream with the fewest of this balancer's requests in flight; ties are broken at random."""
 
 from bench.programs.plain import start
 
-start(lambda rng, ready, held: min(ready, key=lambda upstream: (held[upstream], rng.random())))
+start(lambda rng, ready, inflight: min(ready, key=lambda upstream: (inflight[upstream], rng.random())))
--- a/bench/programs/random_choice.py
+++ b/bench/programs/random_choice.py
@@ -1,5 +1,5 @@
-"""Every request to a random upstream."""
+"""Random choice: every request goes to a random ready upstream."""
 
 from bench.programs.plain import start
 
-start(lambda rng, ready, held: rng.choice(ready))
+start(lambda rng, ready, inflight: rng.choice(ready))
