--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -0,0 +1,1 @@
+"""Benchmarks and long measurements, run by hand as `python -m bench.NAME`."""
--- a/bench/back.py
+++ b/bench/back.py
@@ -1,10 +1,10 @@
-"""How soon a balancer whose upstreams have room serves again after a trouble, on the model of `tests/fleet.py`.
+"""Recovery time of a balancer whose upstreams have spare capacity, measured on the simulation of `tests/fleet.py`.
 
-    python -m bench.back [SEEDS] [REVISION]     the decisions of this tree, and beside them those of a revision
+    python -m bench.back [SEEDS] [REVISION]     the policy of this tree, and of REVISION for comparison
 
-Told is the time from the end of the trouble until nine in ten of what is asked within a second from then on are served:
-median and most over the seeds (3 s for one seed and build). A trouble ends before the last attempt that it spoilt does,
-so this is no shorter than from the last bad outcome.
+The recovery time runs from the end of a disturbance to the start of the first one-second window in which nine in ten
+requests are served. Printed are the median and the maximum over the seeds; one seed and build takes 3 s. A disturbance
+ends before the last attempt that it spoiled, so this time is no shorter than one counted from the last bad outcome.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 ROOT = Path(__file__).parent.parent
 BOXES, WORK_NS = 8, 12 * MS
-WARM_S, WATCHED_S, SERVED = 2.5, 16.0, 0.9
+WARM_UP_S, OBSERVATION_S, RECOVERED_SHARE = 2.5, 16.0, 0.9
 STEP_NS = 50 * MS
-RESTED_S = (0.4, 0.5)  # a new process gets its first request so long after its start
+FIRST_REQUEST_DELAY_S = (0.4, 0.5)  # from the start of a new process to its first request
 TENANTS = {name: api.Tenant(name, share) for name, share in (("ash", 0.5), ("birch", 0.3), ("cedar", 0.2))}
 PROBING_SETTINGS = {
     "tenants": TENANTS,
@@ -37,79 +37,80 @@
 
 
 def fleet(seed: int, proxies: int = 1, clients: Clients | None = None) -> Fleet:
-    """Balancers that ask upstreams for their load, as on the site, over upstreams that are about half busy."""
+    """Balancers that probe their upstreams for load, as in production; the upstreams are about half busy."""
     return Fleet(proxies, BOXES, seed, work_ns=WORK_NS, clients=clients, told=PROBING_SETTINGS)
 
 
-def back_s(played: Fleet, i: int, since_ns: int, window_ns: int = SECOND) -> float:
-    """From `since_ns` on, when nine in ten of what was asked of balancer `i` within a window are served."""
-    fates = sorted(fate for (of, _), fate in played.fates.items() if of == i and fate[0] >= since_ns)
+def recovery_s(simulation: Fleet, i: int, since_ns: int, window_ns: int = SECOND) -> float:
+    """Time from `since_ns` to the first window in which nine in ten requests to balancer `i` are served."""
+    outcomes = sorted(outcome for (of, _), outcome in simulation.fates.items() if of == i and outcome[0] >= since_ns)
     at = since_ns
-    while at + window_ns <= played.now:
-        served = [ok for asked, ok in fates if at <= asked < at + window_ns]
-        if served and sum(served) >= SERVED * len(served):
+    while at + window_ns <= simulation.now:
+        served = [ok for asked, ok in outcomes if at <= asked < at + window_ns]
+        if served and sum(served) >= RECOVERED_SHARE * len(served):
             return (at - since_ns) / SECOND
         at += STEP_NS
-    return WATCHED_S
-
-
-def blank_start(seed: int, rate: float = 400.0) -> float:
-    """A blank process in the place of one of two, with no old one beside it; one upstream in eight does not answer."""
-    played = fleet(seed, 2, Clients())
-    played.boxes[1].silent = True
-    played.run(WARM_S, rate)
-    played.restart(0, seed)
-    played.away = {0}
-    played.run(random.Random(seed).uniform(*RESTED_S), rate)
-    played.away = set()
-    since = played.now
-    played.run(WATCHED_S, rate)
-    return back_s(played, 0, since)
-
-
-def standstill(seed: int, rate: float = 300.0) -> float:
-    """The loop stands for a second."""
-    played = fleet(seed)
-    played.run(WARM_S, rate)
-    played.stall(0, SECOND)
-    played.run(1.0, rate)
-    since = played.now
-    played.run(WATCHED_S, rate)
-    return back_s(played, 0, since)
-
-
-def cut(seed: int, rate: float = 300.0, window_ns: int = SECOND) -> float:
-    """For 3 s nothing comes back from any upstream."""
-    played = fleet(seed)
-    played.run(WARM_S, rate)
+    return OBSERVATION_S
+
+
+def restart_without_state(seed: int, rate: float = 400.0) -> float:
+    """One of two balancers restarts without state or an overlapping old process; one upstream in eight is silent."""
+    simulation = fleet(seed, 2, Clients())
+    simulation.boxes[1].silent = True
+    simulation.run(WARM_UP_S, rate)
+    simulation.restart(0, seed)
+    simulation.away = {0}
+    simulation.run(random.Random(seed).uniform(*FIRST_REQUEST_DELAY_S), rate)
+    simulation.away = set()
+    since = simulation.now
+    simulation.run(OBSERVATION_S, rate)
+    return recovery_s(simulation, 0, since)
+
+
+def event_loop_stall(seed: int, rate: float = 300.0) -> float:
+    """The event loop stalls for a second."""
+    simulation = fleet(seed)
+    simulation.run(WARM_UP_S, rate)
+    simulation.stall(0, SECOND)
+    simulation.run(1.0, rate)
+    since = simulation.now
+    simulation.run(OBSERVATION_S, rate)
+    return recovery_s(simulation, 0, since)
+
+
+def upstream_outage(seed: int, rate: float = 300.0, window_ns: int = SECOND) -> float:
+    """For 3 s no upstream answers."""
+    simulation = fleet(seed)
+    simulation.run(WARM_UP_S, rate)
     for silent in (True, False):
-        for box in played.boxes.values():
+        for box in simulation.boxes.values():
             box.silent = silent
         if silent:
-            played.run(3.0, rate)
-    since = played.now
-    played.run(WATCHED_S, rate)
-    return back_s(played, 0, since, window_ns)
+            simulation.run(3.0, rate)
+    since = simulation.now
+    simulation.run(OBSERVATION_S, rate)
+    return recovery_s(simulation, 0, since, window_ns)
 
 
-def little_traffic(seed: int) -> float:
-    """The same cut, for a process with two requests a second."""
-    return cut(seed, 2.0, 4 * SECOND)
+def low_traffic_outage(seed: int) -> float:
+    """The outage of `upstream_outage` for a balancer that gets two requests a second."""
+    return upstream_outage(seed, 2.0, 4 * SECOND)
 
 
 CASES: dict[str, Callable[[int], float]] = {
-    "blank start": blank_start,
-    "standstill of 1 s": standstill,
-    "cut of 3 s": cut,
-    "cut, two a second": little_traffic,
+    "blank start": restart_without_state,
+    "standstill of 1 s": event_loop_stall,
+    "cut of 3 s": upstream_outage,
+    "cut, two a second": low_traffic_outage,
 }
 
 
-def tell(seeds: int) -> None:
+def report(seeds: int) -> None:
+    """Print the recovery times of each case."""
     with ProcessPoolExecutor() as pool:
         for name, play in CASES.items():
-            took = list(pool.map(play, range(1, seeds + 1)))
-            print(f"  {name:20} median {statistics.median(took):5.2f} s, most {max(took):5.2f} s, {seeds} seeds")
+            times = list(pool.map(play, range(1, seeds + 1)))
+            print(f"  {name:20} median {statistics.median(times):5.2f} s, most {max(times):5.2f} s, {seeds} seeds")
 
 
 def main() -> None:
@@ -130,7 +131,7 @@
                 env=os.environ | {"PYTHONPATH": folder},
             )
     print("this tree:")
-    tell(seeds)
+    report(seeds)
 
 
 if __name__ == "__main__":
--- a/bench/structures.py
+++ b/bench/structures.py
@@ -1,6 +1,6 @@
-"""The structures of `lanemux/core` beside plain ones, as a ratio in one run.
+"""Speed of the data structures of `lanemux/core` against simple ones, as a ratio within one run.
 
-python -m bench.structures     under half a minute
+python -m bench.structures     takes less than half a minute
 """
 
 from __future__ import annotations
@@ -21,89 +21,91 @@
 
 
 @dataclass(frozen=True)
-class One:
+class Member:
     id: int
 
 
 def ring(size: int, steps: list[int]) -> float:
-    """One member leaves and comes back, at each step."""
-    row = Ring[One](0)
+    """At each step one member leaves the ring and joins again."""
+    members = Ring[Member](0)
     for n in range(size):
-        row.put(One(n), True)
+        members.put(Member(n), True)
 
-    def turns() -> None:
+    def run() -> None:
         for n in steps:
-            row.put(One(n % size), False)
-            row.put(One(n % size), True)
+            members.put(Member(n % size), False)
+            members.put(Member(n % size), True)
 
-    return timed(turns)
+    return timed(run)
 
 
 def ring_plain(size: int, steps: list[int]) -> float:
-    """A list of members that is sorted anew."""
-    row = [One(n) for n in range(size)]
+    """A list of members that is sorted after each change."""
+    members = [Member(n) for n in range(size)]
 
-    def turns() -> None:
+    def run() -> None:
         for n in steps[:20]:
-            row.remove(One(n % size))
-            row.append(One(n % size))
-            row.sort(key=lambda one: (hash_id(one.id, 0), one.id))
+            members.remove(Member(n % size))
+            members.append(Member(n % size))
+            members.sort(key=lambda member: (hash_id(member.id, 0), member.id))
 
-    return timed(turns, len(steps) / 20)
+    return timed(run, len(steps) / 20)
 
 
 def line(size: int, steps: list[int]) -> float:
-    """One from anywhere leaves, and joins at the end."""
-    row = RemovableQueue[int]()
+    """At each step an entry is removed from anywhere and appended again."""
+    queue = RemovableQueue[int]()
     for n in range(size):
-        row.append(n)
+        queue.append(n)
 
-    def turns() -> None:
+    def run() -> None:
         for n in steps:
-            row.remove(n % size)
-            row.append(n % size)
+            queue.remove(n % size)
+            queue.append(n % size)
 
-    return timed(turns)
+    return timed(run)
 
 
 def line_plain(size: int, steps: list[int]) -> float:
-    row = deque(range(size))
+    """The same with a deque."""
+    queue = deque(range(size))
 
-    def turns() -> None:
+    def run() -> None:
         for n in steps:
-            row.remove(n % size)
-            row.append(n % size)
+            queue.remove(n % size)
+            queue.append(n % size)
 
-    return timed(turns)
+    return timed(run)
 
 
 def timers(size: int, steps: list[int]) -> float:
-    """So many are open; at each step one is set and settled, as a request's is that is answered before it is due."""
-    kept = Timers[int]()
+    """At each step one timer is set and cancelled, like that of a request answered in time; `size` others stay set."""
+    timer_queue = Timers[int]()
     for n in range(size):
-        kept.set(10**9 + n, n)
+        timer_queue.set(10**9 + n, n)
 
-    def turns() -> None:
+    def run() -> None:
         for n in steps * 10:
-            kept.cancel(kept.set(10**9 + n, n))
+            timer_queue.cancel(timer_queue.set(10**9 + n, n))
 
-    return timed(turns, 0.1)
+    return timed(run, 0.1)
 
 
 def timers_plain(size: int, steps: list[int]) -> float:
-    """A heap that keeps each until it is due: 100 ms of a thousand a second."""
+    """A heap that keeps each timer until it expires: those of 100 ms at a thousand a second."""
     heap = [(10**9 + n, n) for n in range(size)]
 
-    def turns() -> None:
+    def run() -> None:
         for n in range(len(steps) * 10):
             heapq.heappush(heap, (10**9 + 100 + n, n))
             while heap[0][0] <= 10**9 + n:
                 heapq.heappop(heap)
 
-    return timed(turns, 0.1)
+    return timed(run, 0.1)
 
 
 def timed(work: Callable[[], object], factor: float = 1.0) -> float:
+    """Run the work and return its time in seconds, multiplied by the factor."""
     began = time.perf_counter()
     work()
     return (time.perf_counter() - began) * factor
@@ -111,16 +113,16 @@
 
 def main() -> None:
     rng = random.Random(1)
-    for made, plain in ((ring, ring_plain), (line, line_plain), (timers, timers_plain)):
+    for measure, measure_plain in ((ring, ring_plain), (line, line_plain), (timers, timers_plain)):
         for size in SIZES:
             ratios, ours = [], []
             for _ in range(ROUNDS):
                 steps = [rng.randrange(size) for _ in range(STEPS)]
-                own, other = made(size, steps), plain(size, steps)
+                own, other = measure(size, steps), measure_plain(size, steps)
                 ours.append(own / STEPS * 1e6)
                 ratios.append(other / own)
             print(
-                f"{made.__name__:8}{size:7} {statistics.median(ours):8.2f} us a step, plain over ours "
+                f"{measure.__name__:8}{size:7} {statistics.median(ours):8.2f} us a step, plain over ours "
                 f"{statistics.median(ratios):8.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
             )
 
