--- a/bench/outages.py
+++ b/bench/outages.py
@@ -1,9 +1,9 @@
-"""The outage that the storm module is for, on the virtual clock: with it, without it, and without each part of it.
+"""Effect of the storm module on an outage, on the virtual clock: off, on, and with one of its parts disabled.
 
     python -m bench.outages [SEEDS] [--first N] [--world NAME] [--only BUILD ...] [--jobs N] [--json FILE] [--plot]
 
-A third of the boxes dies in one moment and comes back cold before discovery tells of it; boxes are not looked at;
-callers retry at once and do not say that it is a retry. Every build plays the same plans, seed by seed.
+A third of the boxes crashes at the same time and is back, cold, before discovery reports the crash; boxes are not
+probed; clients retry at once and do not mark retries. Every build runs the same plans, seed by seed.
 """
 
 from __future__ import annotations
@@ -35,21 +35,25 @@
 
 
 class _NoSpread(StormModule):
+    """Leaves Retry-After as the policy set it instead of spreading the returns."""
+
     def _with_retry_after(self, action: api.Refuse, now: int) -> api.Refuse:
         self._count_unserved(action.request)
         return action
 
 
-class _Untold(RestartDetector):
+class _DisabledRestartDetector(RestartDetector):
     def observe(self, upstream: int, result: api.Result, now: int) -> api.Upstream | None:
-        """Nothing is found out: the list alone tells of starts."""
+        """Detect nothing: only the upstream list reports restarts."""
         return None
 
 
 class _NoRestarts(StormModule):
+    """Does not detect restarts of upstreams."""
+
     def __init__(self, inner: Balancer, settings: api.Settings, options: StormOptions, seed: int, now: int) -> None:
         super().__init__(inner, settings, options, seed, now)
-        self._restart_detector = _Untold()
+        self._restart_detector = _DisabledRestartDetector()
 
 
 BUILDS: dict[str, type[StormModule] | None] = {
@@ -62,24 +66,24 @@
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """A kind of outage."""
+    """Parameters of an outage."""
 
-    looks: bool = False
-    marks: bool = False
+    looks: bool = False  # whether balancers probe the boxes
+    marks: bool = False  # whether clients mark retries
     balancers: int = 8
     boxes: int = 8
-    load: float = 0.8  # of what the boxes can do
-    part: float = 0.34
+    load: float = 0.8  # share of the boxes' capacity
+    part: float = 0.34  # share of the boxes that crash
     down_s: tuple[float, float] = (1.0, 3.0)
-    notice_s: tuple[float, float] = (5.0, 9.0)  # of a death: after the box is back
+    notice_s: tuple[float, float] = (5.0, 9.0)  # from the crash to its report by discovery: after the box is back
     seconds: float = 16.0
-    honour: float = 0.3
-    fall_multiple: float = 2.5  # a cold box falls over at so many times what it can do
+    honour: float = 0.3  # share of the clients that obey Retry-After
+    fall_multiple: float = 2.5  # a cold box crashes at this multiple of its capacity
 
 
 WORLDS = {
-    "blind": World(),  # no looks, deaths told after the boxes are back
-    "told": World(notice_s=(0.3, 0.9), down_s=(2.0, 4.0)),  # no looks, deaths told soon
+    "blind": World(),  # no probes; crashes are reported after the boxes are back
+    "told": World(notice_s=(0.3, 0.9), down_s=(2.0, 4.0)),  # no probes; crashes are reported soon
     "looks": World(looks=True),
     "marked": World(marks=True),
     "overload": World(load=1.1),
@@ -90,14 +94,14 @@
     "frail-over": World(fall_multiple=1.3, load=1.1),
     "frail-told": World(fall_multiple=1.3, load=1.1, notice_s=(0.3, 0.9), down_s=(2.0, 4.0)),
 }
-DIES_S = 5.0
+CRASH_S = 5.0
 
 
-PARTNER, PARTNERS_WORLD = "miami-desk", "partner"  # who storms there: the kit's partner-storm
+PARTNER, PARTNERS_WORLD = "miami-desk", "partner"  # that partner's retry storm: the scenario partner-storm
 
 
 def setting(name: str) -> Setting:
-    """The world as the virtual stage takes it."""
+    """The world as a setting of the simulation."""
     links = dict.fromkeys(("client", "box", "list", "peer"), Weather(jitter_ns=100_000))
     return Setting(find("partner-storm", "") if name == PARTNERS_WORLD else _outage(WORLDS[name]), links)
 
@@ -114,7 +118,7 @@
         Discovery(notice_s=world.notice_s, add_s=(0.77, 2.5)),
         classes=USUAL_CLASSES,
         partners=USUAL_PARTNERS,
-        faults=(Fault("crash", at_s=DIES_S, part=(world.part, world.part), down_s=world.down_s),),
+        faults=(Fault("crash", at_s=CRASH_S, part=(world.part, world.part), down_s=world.down_s),),
     )
 
 
@@ -125,26 +129,26 @@
     build: str
     seed: int
     service: float
-    outage_service: float  # from the deaths until some seconds behind the last return
+    outage_service: float  # from the crashes until some seconds after the last box is back
     recovery_s: float
     returns_peak: float
-    fell: int  # boxes pushed over
-    budget: float  # of what a cold box bears, the most that it was sent
+    fell: int  # boxes that crashed of overload while cold
+    budget: float  # largest share of a cold box's load budget that it was sent
     attempts_per_ask: float
-    others: float  # service of the partners that do not storm, within their shares
+    others: float  # mean service of the other partners, within their shares
     broken: dict[str, int]
-    worth: list[tuple[float, float]]  # earned and asked by half seconds
+    worth: list[tuple[float, float]]  # value earned and requested, per half second
 
 
 def run(job: tuple[str, str, int]) -> Row:
     """One run."""
     name, build, seed = job
-    kind = BUILDS[build]
+    module_class = BUILDS[build]
 
-    def around(decides: Balancer, told: api.Settings, seed: int, now: int) -> StormModule | Balancer:
-        return decides if kind is None else kind(decides, told, StormOptions(), seed, now)
+    def wrap(policy: Balancer, settings: api.Settings, seed: int, now: int) -> StormModule | Balancer:
+        return policy if module_class is None else module_class(policy, settings, StormOptions(), seed, now)
 
-    result = play(Script(seed), made=setting(name), around=around)
+    result = play(Script(seed), made=setting(name), around=wrap)
     broken: dict[str, int] = {}
     for violation in result.violations:
         broken[violation.rule] = broken.get(violation.rule, 0) + 1
@@ -195,7 +199,7 @@
 
 
 def table(rows: Iterable[Row]) -> None:
-    """All builds, a row each."""
+    """Print one row per build."""
     by_build: dict[str, list[Row]] = {}
     for row in rows:
         by_build.setdefault(row.build, []).append(row)
@@ -208,7 +212,7 @@
 
 
 def plot(rows: Sequence[Row], builds: Sequence[str]) -> None:
-    """Service by half seconds over all seeds, as a Mermaid chart; the last one is cut by the end."""
+    """Print the service per half second over all seeds as a Mermaid chart, without the last, incomplete half second."""
     lines: list[tuple[str, list[float]]] = []
     for build in builds:
         own = [r.worth for r in rows if r.build == build]
@@ -217,7 +221,7 @@
     steps = len(lines[0][1])
     names = ", ".join(name for name, _ in lines)
     print(f'```mermaid\nxychart-beta\n    title "service by half seconds: {names}"')
-    print(f'    x-axis "seconds; a third of the boxes dies at {DIES_S:g}" 0 --> {steps / 2:g}')
+    print(f'    x-axis "seconds; a third of the boxes dies at {CRASH_S:g}" 0 --> {steps / 2:g}')
     print('    y-axis "service" 0 --> 1')
     for _, values in lines:
         print("    line [" + ", ".join(f"{v:.2f}" for v in values) + "]")
--- a/bench/rehearsals.py
+++ b/bench/rehearsals.py
@@ -1,11 +1,11 @@
-"""What the rehearsal kit tells and costs, over many seeds. Run from the repository's root:
+"""Results and cost of rehearsals over many seeds. Run from the repository's root:
 
-    python -m bench.rehearsals healthy    # each short scenario, 20 seeds: no rule broken
-    python -m bench.rehearsals broken     # each broken build, 10 seeds: caught by what, on how many
-    python -m bench.rehearsals service    # calm and friday-rush, 10 seeds, beside plain programs on the same seeds
-    python -m bench.rehearsals cost       # the rate at which the kit still calls itself valid
+    python -m bench.rehearsals healthy    # each short scenario, 20 seeds: no rule may be broken
+    python -m bench.rehearsals broken     # each broken build, 10 seeds: what detects it, on how many runs
+    python -m bench.rehearsals service    # calm and friday-rush, 10 seeds: this build and textbook policies
+    python -m bench.rehearsals cost       # the highest rate at which a rehearsal is still valid
 
-A run that was not valid is played again, twice at the most, and then left out and counted.
+A run that is not valid is repeated at most twice; after that it is left out, and the count of valid runs shows it.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 
 from tests.rehearsal.test_broken import BY_FIGURE, BY_RULE, HEALTHY
 
-PLAYS = 3
-PLAIN = ("random_choice", "least_connections")
+MAX_RUNS = 3
+TEXTBOOK_POLICIES = ("random_choice", "least_connections")
 RATES = (250, 500, 750, 1000, 1500, 2000)
-BALANCERS_AT_RATE = 2  # plain ones: a light balancer, so that the kit is measured and not the balancers
+BALANCERS_AT_RATE = 2  # minimal ones, so that the rehearsal's own cost is measured and not the balancers'
 
 
 @dataclass(frozen=True)
 class Job:
-    """One rehearsal to be played."""
+    """One rehearsal to be run."""
 
     scenario: str
     seed: int
     program: str = ""
-    more: tuple[str, ...] = ()
+    arguments: tuple[str, ...] = ()
 
 
-def play(job: Job, plays: int = PLAYS) -> dict[str, Any]:
-    """Its report; played again while it is not valid."""
+def run(job: Job, max_runs: int = MAX_RUNS) -> dict[str, Any]:
+    """Run the rehearsal, at most `max_runs` times until it is valid, and return the last report."""
     with tempfile.NamedTemporaryFile(suffix=".json") as file:
         program = ["--program", f"{sys.executable} -m {job.program}"] if job.program else []
-        words = [
+        command = [
             sys.executable,
             "-m",
             "lanemux",
@@ -54,12 +54,12 @@
             str(job.seed),
             "--json",
             file.name,
-            *job.more,
+            *job.arguments,
             *program,
         ]
         report: dict[str, Any] = {"valid": False}
-        for _ in range(plays):
-            subprocess.run(words, capture_output=True, timeout=600)
+        for _ in range(max_runs):
+            subprocess.run(command, capture_output=True, timeout=600)
             text = Path(file.name).read_text()
             report = json.loads(text) if text else report
             if report["valid"]:
@@ -67,12 +67,14 @@
         return report
 
 
-def played(jobs: list[Job], abreast: int) -> list[dict[str, Any]]:
-    with ThreadPoolExecutor(abreast) as pool:
-        return list(pool.map(play, jobs))
+def run_all(jobs: list[Job], parallel: int) -> list[dict[str, Any]]:
+    """Run the rehearsals, at most `parallel` at a time; reports in the order of the jobs."""
+    with ThreadPoolExecutor(parallel) as pool:
+        return list(pool.map(run, jobs))
 
 
 def spread(values: Iterable[float]) -> str:
+    """Median, range and standard deviation."""
     ordered = sorted(values)
     if not ordered:
         return "no valid run"
@@ -82,13 +84,14 @@
     )
 
 
-def healthy(seeds: int, abreast: int) -> None:
+def healthy(seeds: int, parallel: int) -> None:
+    """Rehearse each short scenario with this build."""
     for name in HEALTHY:
-        reports = played([Job(name, seed) for seed in range(1, seeds + 1)], abreast)
+        reports = run_all([Job(name, seed) for seed in range(1, seeds + 1)], parallel)
         valid = [r for r in reports if r["valid"]]
-        accused = [r["seed"] for r in valid if any(r["rules"].values()) or r["crashes"] or r["expectations_missed"]]
+        failed = [r["seed"] for r in valid if any(r["rules"].values()) or r["crashes"] or r["expectations_missed"]]
         print(
-            f"{name}: {len(valid)} of {seeds} valid, accused on seeds {accused or 'none'}; service "
+            f"{name}: {len(valid)} of {seeds} valid, accused on seeds {failed or 'none'}; service "
             f"{spread(r['service'] for r in valid)}; of a cold box's budget at most "
             f"{max((r['cold_budget_most'] for r in valid), default=0):.2f}; blindness at most "
             f"{max((r['blindness'] for r in valid), default=0):.2f}",
@@ -96,29 +99,35 @@
         )
 
 
-def broken(seeds: int, abreast: int) -> None:
-    rows = [
+def broken(seeds: int, parallel: int) -> None:
+    """Rehearse each broken build, and count the runs on which its rule or figure detects it."""
+    cases = [
         *((b, n, r, True) for b, n, r in BY_RULE),
         ("never_answers", "friday-rush-short", "lost", True),
         *((b, n, f, False) for b, n, f in BY_FIGURE),
     ]
-    for build, name, by, rule in rows:
-        reports = played([Job(name, s, f"tests.rehearsal.broken.{build}") for s in range(1, seeds + 1)], abreast)
+    for build, name, detector, is_rule in cases:
+        reports = run_all([Job(name, s, f"tests.rehearsal.broken.{build}") for s in range(1, seeds + 1)], parallel)
         valid = [r for r in reports if r["valid"]]
         caught = [
             r
             for r in valid
-            if (r["rules"][by] if rule else any(line.startswith(by) for line in r["expectations_missed"]))
+            if (
+                r["rules"][detector] if is_rule else any(line.startswith(detector) for line in r["expectations_missed"])
+            )
         ]
-        print(f"{build} ({name}): caught by {by} on {len(caught)} of {len(valid)} valid runs of {seeds}", flush=True)
+        print(
+            f"{build} ({name}): caught by {detector} on {len(caught)} of {len(valid)} valid runs of {seeds}", flush=True
+        )
 
 
-def service(seeds: int, abreast: int, seconds: float) -> None:
-    more = ("--seconds", str(seconds)) if seconds else ()
+def service(seeds: int, parallel: int, seconds: float) -> None:
+    """Compare the service of this build with that of the textbook policies."""
+    arguments = ("--seconds", str(seconds)) if seconds else ()
     for name in ("calm", "friday-rush"):
-        for program in ("", *PLAIN):
+        for program in ("", *TEXTBOOK_POLICIES):
             path = f"bench.programs.{program}" if program else ""
-            reports = played([Job(name, s, path, more) for s in range(1, seeds + 1)], abreast)
+            reports = run_all([Job(name, s, path, arguments) for s in range(1, seeds + 1)], parallel)
             valid = [r for r in reports if r["valid"]]
             print(
                 f"{name}, {program or 'this build'}: {len(valid)} of {seeds} valid; service "
@@ -128,8 +137,9 @@
 
 
 def cost() -> None:
+    """Rehearse minimal balancers at rising request rates."""
     for rate in RATES:
-        report = play(
+        report = run(
             Job(
                 "calm",
                 1,
@@ -138,11 +148,11 @@
             ),
             1,
         )
-        v = report["validity"]
+        validity = report["validity"]
         print(
-            f"{rate} asks/s: valid {report['valid']}; asks late p99 {v['asks_late_p99_ms']:.1f} ms, callers "
-            f"{v['callers_late_p99_ms']:.1f} ms, boxes {v['boxes_late_p99_ms']:.1f} ms; "
-            f"{report['attempts']} attempts; {v['reasons']}",
+            f"{rate} asks/s: valid {report['valid']}; asks late p99 {validity['asks_late_p99_ms']:.1f} ms, callers "
+            f"{validity['callers_late_p99_ms']:.1f} ms, boxes {validity['boxes_late_p99_ms']:.1f} ms; "
+            f"{report['attempts']} attempts; {validity['reasons']}",
             flush=True,
         )
 
--- a/bench/storms.py
+++ b/bench/storms.py
@@ -1,12 +1,12 @@
-"""What the storm module does and costs. Run from the repository's root:
+"""Effect and cost of the storm module. Run from the repository's root:
 
     python -m bench.storms outage [SEEDS] [ABREAST]   # storm-short, each seed with [storm] off and on
-    python -m bench.storms partner [SEEDS]            # partner-storm, the same
-    python -m bench.storms flood [SEEDS]              # reconnect-flood, off and on, beside the day without it
-    python -m bench.storms returns                    # 400 refused within 100 ms: who comes back when, off and on
-    python -m bench.storms cost [ROUNDS]              # a calm day's request through the decisions, off and on
+    python -m bench.storms partner [SEEDS]            # the same for partner-storm
+    python -m bench.storms flood [SEEDS]              # reconnect-flood, off and on, and the scenario without the flood
+    python -m bench.storms returns                    # when 400 requests refused within 100 ms come back, off and on
+    python -m bench.storms cost [ROUNDS]              # time in the policy per request under normal load, off and on
 
-A run that was not valid is played again, twice at the most, and then left out and counted.
+A run that is not valid is repeated at most twice; after that it is left out, and the count of valid runs shows it.
 """
 
 from __future__ import annotations
@@ -21,54 +21,58 @@
 from pathlib import Path
 from typing import Any
 
-from bench.rehearsals import Job, played, spread
+from bench.rehearsals import Job, run_all, spread
 from lanemux import interface as api
 from lanemux.policy import Balancer
 from lanemux.storm.module import StormModule, StormOptions
 
 MS, SECOND = 1_000_000, 1_000_000_000
-ON = "[storm]\n"
-QUIET = """
+STORM_ON = "[storm]\n"
+WITHOUT_FLOOD = """
 title = "the day of reconnect-flood without the flood"
 seconds = 12
 """
 BATCH, ROUNDS = 2000, 40
 
 
-def _reports(name: str, seeds: int, abreast: int, folder: Path) -> dict[str, list[dict[str, Any]]]:
-    """The valid reports by how [storm] was: off and on, seed by seed in turn."""
+def _reports_off_and_on(name: str, seeds: int, parallel: int, folder: Path) -> dict[str, list[dict[str, Any]]]:
+    """The valid reports with [storm] off and on; the two runs of a seed follow one another."""
     files = {how: folder / f"{how}.toml" for how in ("off", "on")}
     files["off"].write_text("")
-    files["on"].write_text(ON)
+    files["on"].write_text(STORM_ON)
     jobs = [
-        Job(name, seed, more=("--balancers-operators", str(files[how])))
+        Job(name, seed, arguments=("--balancers-operators", str(files[how])))
         for seed in range(1, seeds + 1)
         for how in files
     ]
-    reports = played(jobs, abreast)
+    reports = run_all(jobs, parallel)
     return {how: [r for r in reports[i::2] if r["valid"]] for i, how in enumerate(files)}
 
 
-def _line(how: str, reports: list[dict[str, Any]], seeds: int) -> None:
-    fallen = sum(r["rules"]["cold"] for r in reports)
+def _print_summary(how: str, reports: list[dict[str, Any]], seeds: int) -> None:
+    crashed = sum(r["rules"]["cold"] for r in reports)
     broken = sum(sum(r["rules"].values()) for r in reports)
     print(
-        f"{how}: {len(reports)} of {seeds} valid, rules broken {broken}, boxes pushed over {fallen}, of a cold box's "
+        f"{how}: {len(reports)} of {seeds} valid, rules broken {broken}, boxes pushed over {crashed}, of a cold box's "
         f"budget at most {max((r['cold_budget_most'] for r in reports), default=0):.2f} "
         f"(median {statistics.median([r['cold_budget_most'] for r in reports] or [0]):.2f})"
     )
     for figure in ("service", "outage_service", "returns_peak", "attempts_per_ask"):
         print(f"  {figure}: {spread(r[figure] for r in reports)}")
-    back = [r["recovery_s"] for r in reports if r["recovery_s"] >= 0]
-    print(f"  recovery_s: {spread(back)}; never within the run: {len(reports) - len(back)}", flush=True)
+    recovery_times = [r["recovery_s"] for r in reports if r["recovery_s"] >= 0]
+    print(
+        f"  recovery_s: {spread(recovery_times)}; never within the run: {len(reports) - len(recovery_times)}",
+        flush=True,
+    )
 
 
-def outage(name: str, seeds: int, abreast: int) -> None:
+def outage(name: str, seeds: int, parallel: int) -> None:
+    """Compare an outage with [storm] off and on."""
     with tempfile.TemporaryDirectory() as folder:
-        both = _reports(name, seeds, abreast, Path(folder))
+        both = _reports_off_and_on(name, seeds, parallel, Path(folder))
     for how, reports in both.items():
-        _line(how, reports, seeds)
-    gaps = {figure: _pairs(both, figure) for figure in ("service", "outage_service")}
+        _print_summary(how, reports, seeds)
+    gaps = {figure: _paired_differences(both, figure) for figure in ("service", "outage_service")}
     for figure, pairs in gaps.items():
         if len(pairs) > 1:
             print(
@@ -77,18 +81,21 @@
             )
 
 
-def _pairs(both: dict[str, list[dict[str, Any]]], figure: str) -> list[float]:
+def _paired_differences(both: dict[str, list[dict[str, Any]]], figure: str) -> list[float]:
     off = {r["seed"]: r[figure] for r in both["off"]}
     return [r[figure] - off[r["seed"]] for r in both["on"] if r["seed"] in off]
 
 
 def flood(seeds: int) -> None:
+    """Compare a reconnect flood with [storm] off and on, and no flood."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        quiet = folder / "quiet.toml"
-        quiet.write_text(QUIET)
-        both = _reports("reconnect-flood", seeds, 1, folder)
-        both["no flood"] = [r for r in played([Job(str(quiet), s) for s in range(1, seeds + 1)], 1) if r["valid"]]
+        without_flood = folder / "quiet.toml"
+        without_flood.write_text(WITHOUT_FLOOD)
+        both = _reports_off_and_on("reconnect-flood", seeds, 1, folder)
+        both["no flood"] = [
+            r for r in run_all([Job(str(without_flood), s) for s in range(1, seeds + 1)], 1) if r["valid"]
+        ]
     for how, reports in both.items():
         print(
             f"{how}: {len(reports)} of {seeds} valid; rules broken {sum(sum(r['rules'].values()) for r in reports)}; "
@@ -115,7 +122,7 @@
 
 
 class Driver:
-    """Requests through the decisions as a node hands them over: looks answered, each served after its time."""
+    """Passes requests to the policy as a node does: probes are answered, each request is served after its work time."""
 
     def __init__(self, storm: bool) -> None:
         self.now, self.count = SECOND, 0
@@ -126,7 +133,7 @@
         self.module.handle(self.now, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(n) for n in range(10)])])
 
     def run(self, count: int) -> float:
-        """Microseconds a request."""
+        """Handle `count` requests and return the microseconds per request."""
         began = time.perf_counter_ns()
         for _ in range(count):
             self._one()
@@ -135,7 +142,7 @@
     def _one(self) -> None:
         self.count += 1
         self.now += 10 * MS
-        made = self.module.handle(
+        actions = self.module.handle(
             self.now,
             [
                 api.Arrival(
@@ -143,18 +150,19 @@
                 )
             ],
         )
-        while made:
+        while actions:
             events: list[api.Event] = []
-            for action in made:
+            for action in actions:
                 if isinstance(action, api.Probe):
                     events.append(api.ProbeResult(action.upstream, api.Result.OK, MS, {"inflight": 1, "queue": 0}))
                 elif isinstance(action, api.Send):
                     events.append(api.Outcome(action.request, 0, action.upstream, api.Result.OK, 75 * MS, True))
             self.now += MS
-            made = self.module.handle(self.now, events) if events else []
+            actions = self.module.handle(self.now, events) if events else []
 
 
 def cost(rounds: int) -> None:
+    """Compare the policy's time per request with [storm] off and on."""
     off, on = Driver(False), Driver(True)
     for driver in (off, on):
         driver.run(BATCH)
@@ -172,14 +180,14 @@
 
 
 def returns() -> None:
-    """Fresh requests at 100 a second, all served but for 400 refused within 100 ms."""
+    """New requests at 100 a second, all served except 400 that are refused within 100 ms."""
     for how in ("off", "on"):
-        print(f"{how}: {_told(_back(how == 'on'))}")
+        print(f"{how}: {_summary(_return_times(how == 'on'))}")
 
 
-def _back(storm: bool) -> Iterable[int]:
-    class Refuses:
-        """Serves, and refuses while told to; as the decisions without the module draw a wait."""
+def _return_times(storm: bool) -> Iterable[int]:
+    class RefusingPolicy:
+        """A policy that refuses while `refusing`, with a random wait as the real policy draws it without the module."""
 
         refusing, rng = False, random.Random(1)
 
@@ -196,7 +204,7 @@
                 if isinstance(e, api.Arrival) and self.refusing
             ]
 
-    inner, now = Refuses(), SECOND
+    inner, now = RefusingPolicy(), SECOND
     module = StormModule(inner, _settings(), StormOptions(), 1, now) if storm else inner
     for number in range(500):
         now += 10 * MS
@@ -210,8 +218,8 @@
                 yield now + action.retry_after_ns
 
 
-def _told(back: Iterable[int]) -> str:
-    bins = Counter(at // (100 * MS) for at in back)
+def _summary(return_times: Iterable[int]) -> str:
+    bins = Counter(at // (100 * MS) for at in return_times)
     count = max(bins) - min(bins) + 1
     return (
         f"400 come back over {count / 10:.1f} s; in 100 ms at most {max(bins.values())}, on average "
