--- a/bench/seam_cost.py
+++ b/bench/seam_cost.py
@@ -1,17 +1,17 @@
-"""What a change costs in service: this tree's balancer beside another commit's, or with a section of the operators'
-file beside itself without, in turns, on one machine.
+"""Throughput and CPU cost of a change: this tree's balancer against another commit's, or with [storm] on against off,
+alternately, on one machine.
 
     python -m bench.seam_cost COMMIT [ROUNDS] [PAIRS]
     python -m bench.seam_cost storm [ROUNDS] [PAIRS]     # [storm] on over off
 
-Both balancers stand for a pair's rounds, each on a core of its own, before four upstreams that answer at once; sixteen
-connections load one of them for a quarter of a second, then the other, in drawn order. Two processes of the same code
-differ by 3% for as long as they live, so the pair is started anew PAIRS times, and the error told is that between
-pairs. Told are requests a second and the processor time of the balancer for each (Linux, /proc/PID/schedstat), as
-ratios round by round, for two loads:
+Both balancers run for all rounds of a pair, each on a core of its own, in front of four upstreams that answer at once;
+sixteen connections load one of them for a quarter of a second, then the other, in random order. Two processes of the
+same code differ by 3% during their whole life, so the pair is restarted PAIRS times, and the standard error is that
+between pairs. Printed are requests per second and the balancer's CPU time per request (Linux, /proc/PID/schedstat), as
+ratios of the same round, for two loads:
 
-    full   as fast as it goes, with a module that only deals requests out: the network code alone, nothing refused
-    paced  some 600 requests a second, with the daemon as it is
+    full   without pauses, with a round-robin policy only: measures the network code alone, nothing is refused
+    paced  some 600 requests a second, with the unchanged daemon
 """
 
 from __future__ import annotations
@@ -36,10 +36,10 @@
 from lanemux.rehearsal.registry import RegistryAgent
 
 ROOT = Path(__file__).parent.parent
-# Short rounds: what drifts on a shared machine is then the same for both of a pair.
+# Rounds are short so that drift on a shared machine affects both balancers of a pair alike.
 UPSTREAMS, CONNECTIONS, ROUND_S, ROUNDS, PAIRS = 4, 16, 0.25, 24, 10
-PAUSE_S = {"full": 0.0, "paced": 0.025}  # of a connection between its requests
-DEALER = """
+PAUSE_S = {"full": 0.0, "paced": 0.025}  # pause of a connection between its requests
+ROUND_ROBIN_PROGRAM = """
 import asyncio, os
 from lanemux import interface as api
 from lanemux.net.config import read_config
@@ -65,7 +65,7 @@
 
 asyncio.run(main())
 """
-PROGRAMS = {"full": ["-c", DEALER], "paced": ["-m", "lanemux"]}
+PROGRAMS = {"full": ["-c", ROUND_ROBIN_PROGRAM], "paced": ["-m", "lanemux"]}
 HOST = "127.0.0.1"
 BODY = b"x" * 200
 
@@ -75,23 +75,23 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.framer = framing.MessageParser()
+        self.parser = framing.MessageParser()
 
     def data_received(self, data: bytes) -> None:
-        for message in self.framer.feed(data):
-            look = " /stats " in message.start_line
-            body = b'{"inflight": 0, "queue": 0}' if look else BODY
+        for message in self.parser.feed(data):
+            is_probe = " /stats " in message.start_line
+            body = b'{"inflight": 0, "queue": 0}' if is_probe else BODY
             self.transport.write(framing.response(200, body))  # type: ignore[attr-defined]
 
 
 class Client:
-    """One connection that asks again as soon as it is answered."""
+    """One connection that sends its next request as soon as it is answered, or after a pause."""
 
     def __init__(self, port: int, number: int) -> None:
         self.port, self.number, self.count, self.served = port, number, 0, 0
 
     async def open(self) -> None:
-        """Come up; the connection is kept for all rounds, as callers keep theirs."""
+        """Connect; the connection is kept for all rounds, as real clients keep theirs."""
         self._reader, self._writer = await asyncio.open_connection(HOST, self.port)
 
     def close(self) -> None:
@@ -100,7 +100,7 @@
     async def ask(self, until: float, pause_s: float) -> None:
         loop = asyncio.get_running_loop()
         reader, writer = self._reader, self._writer
-        framer = framing.MessageParser(responses=True)
+        parser = framing.MessageParser(responses=True)
         while loop.time() < until:
             self.count += 1
             writer.write(
@@ -117,7 +117,7 @@
             )
             answers: list[framing.Message] = []
             while not answers:
-                answers = framer.feed(await reader.read(65536))
+                answers = parser.feed(await reader.read(65536))
             self.served += answers[0].status == 200
             if pause_s:
                 await asyncio.sleep(pause_s)
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True)
 class Side:
-    """One of the two: where its program lies, and its operators' file."""
+    """One of the two balancers: its name, source tree and operators' file."""
 
     name: str
     root: Path
@@ -133,17 +133,18 @@
 
 
 async def start(
-    side: Side, folder: Path, core: int, agent: RegistryAgent, place: BalancerEndpoints, program: list[str]
+    side: Side, folder: Path, core: int, agent: RegistryAgent, endpoints: BalancerEndpoints, program: list[str]
 ) -> asyncio.subprocess.Process:
-    told = settings(draw(find("calm-short", ""), 1), 0)
-    told["realms"] = [{"name": "brooklyn-desk", "share": 1.0}]
+    """Start the balancer of one side on a core."""
+    balancer_settings = settings(draw(find("calm-short", ""), 1), 0)
+    balancer_settings["realms"] = [{"name": "brooklyn-desk", "share": 1.0}]
     path = folder / f"{side.name}.json"
-    path.write_text(json.dumps(configuration(side.name, place, "1", agent.snapshot(), told)))
-    more = ["--operators", str(side.operators)] if "-m" in program else []
+    path.write_text(json.dumps(configuration(side.name, endpoints, "1", agent.snapshot(), balancer_settings)))
+    arguments = ["--operators", str(side.operators)] if "-m" in program else []
     return await asyncio.create_subprocess_exec(
         sys.executable,
         *program,
-        *more,
+        *arguments,
         cwd=side.root,
         stdin=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
@@ -153,6 +154,7 @@
 
 
 async def open_upstreams(agent: RegistryAgent) -> None:
+    """Open the upstreams and publish them to discovery."""
     loop, plan = asyncio.get_running_loop(), draw(find("calm-short", ""), 1)
     for number in range(UPSTREAMS):
         server = await loop.create_server(Upstream, HOST, 0)
@@ -160,43 +162,44 @@
 
 
 async def load(clients: list[Client], pid: int, pause_s: float) -> tuple[float, float, int]:
-    """Requests served a second, processor microseconds for each, and how many were not served."""
+    """Requests served per second, CPU microseconds per request, and the number not served."""
     loop = asyncio.get_running_loop()
     before = sum(c.count for c in clients), sum(c.served for c in clients)
-    used, began = ran_ns(pid), loop.time()
+    used, began = cpu_time_ns(pid), loop.time()
     await asyncio.gather(*(c.ask(began + ROUND_S, pause_s) for c in clients))
     asked, served = sum(c.count for c in clients) - before[0], sum(c.served for c in clients) - before[1]
-    return served / (loop.time() - began), (ran_ns(pid) - used) / 1000 / asked, asked - served
+    return served / (loop.time() - began), (cpu_time_ns(pid) - used) / 1000 / asked, asked - served
 
 
-def ran_ns(pid: int) -> int:
+def cpu_time_ns(pid: int) -> int:
+    """CPU time of the process so far."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
 
 
 @contextlib.asynccontextmanager
-async def standing(
+async def running_balancers(
     sides: tuple[Side, Side], folder: Path, program: list[str]
 ) -> AsyncIterator[dict[str, tuple[int, int]]]:
-    """The balancers' ports and process numbers."""
+    """Start both balancers and yield the port and process ID of each."""
     agent = RegistryAgent(0, lambda: 0, 0, [])
     discovery = await agent.open(HOST)
     await open_upstreams(agent)
     cores = sorted(os.sched_getaffinity(0))
-    found, processes = {}, []
+    balancers, processes = {}, []
     for number, side in enumerate(sides):
         listen, peer = free_address(HOST), free_address(HOST, datagrams=True)
-        place = BalancerEndpoints(listen, discovery, peer, [peer], peer)
-        processes.append(await start(side, folder, cores[-1 - number], agent, place, program))
-        found[side.name] = (listen[1], processes[-1].pid)
+        endpoints = BalancerEndpoints(listen, discovery, peer, [peer], peer)
+        processes.append(await start(side, folder, cores[-1 - number], agent, endpoints, program))
+        balancers[side.name] = (listen[1], processes[-1].pid)
     try:
-        for port, _ in found.values():
+        for port, _ in balancers.values():
             while True:
                 with contextlib.suppress(OSError):
                     (await asyncio.open_connection(HOST, port))[1].close()
                     break
                 await asyncio.sleep(0.05)
-        await asyncio.sleep(1.5)  # their rest after a start
-        yield found
+        await asyncio.sleep(1.5)  # the balancers need this long to settle after a start
+        yield balancers
     finally:
         for process in processes:
             process.kill()
@@ -207,26 +210,28 @@
 async def measure(
     sides: tuple[Side, Side], rounds: int, number: int, folder: Path, what: str
 ) -> dict[str, list[tuple[float, float, int]]]:
-    """One pair's rounds."""
-    figures: dict[str, list[tuple[float, float, int]]] = {side.name: [] for side in sides}
-    async with standing(sides if number % 2 else (sides[1], sides[0]), folder, PROGRAMS[what]) as found:
+    """Start one pair and run its rounds."""
+    results: dict[str, list[tuple[float, float, int]]] = {side.name: [] for side in sides}
+    async with running_balancers(sides if number % 2 else (sides[1], sides[0]), folder, PROGRAMS[what]) as balancers:
         cores = sorted(os.sched_getaffinity(0))
-        clients = {name: [Client(port, i) for i in range(CONNECTIONS)] for name, (port, _) in found.items()}
+        clients = {name: [Client(port, i) for i in range(CONNECTIONS)] for name, (port, _) in balancers.items()}
         await asyncio.gather(*(c.open() for own in clients.values() for c in own))
         for turn in range(rounds):
-            for place, (_, pid) in enumerate(found.values()):  # cores are not alike: each has either one in turn
-                os.sched_setaffinity(pid, {cores[-1 - (place + turn) % 2]})
-            for name in random.Random(turn).sample(sorted(found), 2):
-                figures[name].append(await load(clients[name], found[name][1], PAUSE_S[what]))
+            # The cores differ in speed: the balancers swap theirs each round.
+            for position, (_, pid) in enumerate(balancers.values()):
+                os.sched_setaffinity(pid, {cores[-1 - (position + turn) % 2]})
+            for name in random.Random(turn).sample(sorted(balancers), 2):
+                results[name].append(await load(clients[name], balancers[name][1], PAUSE_S[what]))
         for own in clients.values():
             for client in own:
                 client.close()
-    return figures
+    return results
 
 
-def tell(sides: tuple[Side, Side], pairs: list[dict[str, list[tuple[float, float, int]]]], what: str) -> None:
-    here, there = (side.name for side in sides)
-    for name in (here, there):
+def print_results(sides: tuple[Side, Side], pairs: list[dict[str, list[tuple[float, float, int]]]], what: str) -> None:
+    """Print medians per side, and the ratios of the two sides."""
+    first, second = (side.name for side in sides)
+    for name in (first, second):
         rows = [row for pair in pairs for row in pair[name]]
         print(
             f"{what}, {name}: {statistics.median(r[0] for r in rows):.0f} requests/s, "
@@ -235,20 +240,23 @@
         )
     for figure, column in (("requests/s", 0), ("us a request", 1)):
         ratios = [
-            statistics.median(h[column] / t[column] for h, t in zip(pair[here], pair[there], strict=True))
+            statistics.median(a[column] / b[column] for a, b in zip(pair[first], pair[second], strict=True))
             for pair in pairs
         ]
         error = statistics.stdev(ratios) / len(ratios) ** 0.5 if len(ratios) > 1 else 0.0
         print(
-            f"{what}, {figure}, {here} over {there}: {len(pairs)} pairs, mean of their medians "
+            f"{what}, {figure}, {first} over {second}: {len(pairs)} pairs, mean of their medians "
             f"{statistics.mean(ratios):.4f}, standard error {error:.4f}",
             flush=True,
         )
 
 
 def compare(sides: tuple[Side, Side], rounds: int, pairs: int, folder: Path, loads: list[str]) -> None:
+    """Measure and print each load."""
     for what in loads:
-        tell(sides, [asyncio.run(measure(sides, rounds, number, folder, what)) for number in range(pairs)], what)
+        print_results(
+            sides, [asyncio.run(measure(sides, rounds, number, folder, what)) for number in range(pairs)], what
+        )
 
 
 def main() -> None:
--- a/bench/simulate.py
+++ b/bench/simulate.py
@@ -1,8 +1,8 @@
-"""What the virtual world finds and costs. Run from the repository's root:
+"""Fault detection and reproducibility of the simulation. Run from the repository's root:
 
-python -m bench.simulate planted [NAME ...]   # each planted fault: seeds until it is found, the plan cut down
-python -m bench.simulate replay [SEEDS]       # seeds in three processes: other hash seeds, another day's date
-python -m bench.simulate agree [SEEDS]        # a faultless scenario on both clocks
+python -m bench.simulate planted [NAME ...]   # each planted fault: seeds until found, size of the minimised plan
+python -m bench.simulate replay [SEEDS]       # same seeds in three processes: other hash seeds, another date
+python -m bench.simulate agree [SEEDS]        # a scenario without faults, in real and virtual time
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from lanemux.virtual.stage import play
 from tests.virtual.planted import PLANTED, ROOT, STORMS, Planted, plant
 
-MOST_SEEDS = 2000
+MAX_SEEDS = 2000
 DATE_SHIFT_S = 400 * 86_400
-# Starts `simulate` with a clock that tells another day to whoever asks for the date.
+# Starts `simulate` with a system clock that is DATE_SHIFT_S ahead.
 SHIFTED_DATE_LAUNCHER = f"""
 import sys, time
 real_s, real_ns = time.time, time.time_ns
@@ -39,6 +39,7 @@
 
 
 def planted(names: list[str]) -> None:
+    """Print, for each planted fault, the seeds and time until it is found."""
     print(f"{'fault':<20}{'seeds':>6}{'wall s':>8}  {'cut down to':<32} found by")
     for fault in (*PLANTED, *STORMS):
         if not names or fault.name in names:
@@ -47,24 +48,26 @@
 
 def _find(fault: Planted) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        copy, kind = plant(fault, Path(folder)), ("--storm",) if fault.storm else ()
+        copy, options = plant(fault, Path(folder)), ("--storm",) if fault.storm else ()
         report, began = copy / "report.json", time.monotonic()
-        _simulate(copy, "--seeds", f"1-{MOST_SEEDS}", "--first", "--no-shrink", "--json", str(report), *kind)
-        wall_s, told = time.monotonic() - began, json.loads(report.read_text())
-        if not told["failed"]:
-            print(f"{fault.name:<20}{'none':>6}{wall_s:8.1f}  not found within {MOST_SEEDS} seeds", flush=True)
+        _simulate(copy, "--seeds", f"1-{MAX_SEEDS}", "--first", "--no-shrink", "--json", str(report), *options)
+        wall_s, result = time.monotonic() - began, json.loads(report.read_text())
+        if not result["failed"]:
+            print(f"{fault.name:<20}{'none':>6}{wall_s:8.1f}  not found within {MAX_SEEDS} seeds", flush=True)
             return
-        seed = told["failed"][0]
-        rules = sorted({line.split()[2] for line in told["violations"][str(seed)]})
-        cut = re.search(r"cut down to (\d+) and (\d+) in (\d+) runs", _simulate(copy, "--replay", str(seed), *kind))
-        size = f"{cut[1]} faults, {cut[2]} asks ({cut[3]} runs)" if cut else "?"
+        seed = result["failed"][0]
+        rules = sorted({line.split()[2] for line in result["violations"][str(seed)]})
+        minimised = re.search(
+            r"cut down to (\d+) and (\d+) in (\d+) runs", _simulate(copy, "--replay", str(seed), *options)
+        )
+        size = f"{minimised[1]} faults, {minimised[2]} asks ({minimised[3]} runs)" if minimised else "?"
         print(f"{fault.name:<20}{seed:>6}{wall_s:8.1f}  {size:<32} {', '.join(rules)}", flush=True)
 
 
-def _simulate(root: Path, *words: str, hash_seed: str = "0", launcher: str = "") -> str:
+def _simulate(root: Path, *arguments: str, hash_seed: str = "0", launcher: str = "") -> str:
     start = ["-c", launcher] if launcher else ["-m", "lanemux", "simulate"]
     done = subprocess.run(
-        [sys.executable, *start, *words],
+        [sys.executable, *start, *arguments],
         cwd=root,
         capture_output=True,
         text=True,
@@ -75,7 +78,8 @@
 
 
 def replay(seeds: int) -> None:
-    found: list[dict[str, Any]] = []
+    """Compare the digests of the same seeds in three processes."""
+    reports: list[dict[str, Any]] = []
     with tempfile.TemporaryDirectory() as folder:
         for hash_seed, launcher in (("1", ""), ("2", ""), ("3", SHIFTED_DATE_LAUNCHER)):
             report = Path(folder) / f"{hash_seed}.json"
@@ -89,14 +93,14 @@
                 hash_seed=hash_seed,
                 launcher=launcher,
             )
-            found.append(json.loads(report.read_text()))
-            print(f"hash seed {hash_seed}{', 400 days on' if launcher else ''}: digest {found[-1]['digest']}")
-    differ = [s for s in found[0]["digests"] if len({f["digests"][s] for f in found}) > 1]
-    print(f"{len(found[0]['digests'])} seeds, {len(differ)} with another history in another process {differ[:10]}")
+            reports.append(json.loads(report.read_text()))
+            print(f"hash seed {hash_seed}{', 400 days on' if launcher else ''}: digest {reports[-1]['digest']}")
+    differ = [s for s in reports[0]["digests"] if len({f["digests"][s] for f in reports}) > 1]
+    print(f"{len(reports[0]['digests'])} seeds, {len(differ)} with another history in another process {differ[:10]}")
 
 
 def agree(seeds: int) -> None:
-    """The same plan of asks and the same boxes; the balancers' time costs nothing on the virtual clock."""
+    """Compare service on the same requests and boxes; on the virtual clock, the balancers' CPU time counts as zero."""
     scenario = find("calm-short", "")
     rows = []
     for seed in range(1, seeds + 1):
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -1,11 +1,11 @@
-"""What a start costs as fleets grow, this tree beside another commit, in turns, in one run.
+"""Cost of a start by the size of the fleet, for this tree and optionally another commit, alternately in one run.
 
     python -m bench.starts [--before COMMIT] [--rounds N] [--sizes 10,200,500,1024]
 
-Each start is one process as an operator's clean place has it: the package as delivered, without a writable folder
-(PYTHONDONTWRITEBYTECODE), and with what that tree's own `build` leaves of bytecode: a commit without deploy/build has
-none. It is told as many balancers and known upstreams, and is stopped with SIGTERM once it says that it is ready.
-Told are medians and the largest of: ms until "ready on port", ms of processor and MiB (private, and at most) by then.
+Each start is one process in a clean installation: the package as delivered, in a folder that it can't write to
+(PYTHONDONTWRITEBYTECODE), with the bytecode that the `build` of its tree leaves; a commit without deploy/build has
+none. Its configuration lists SIZE balancers and SIZE known upstreams, and it is stopped with SIGTERM once it is ready.
+Printed are median and maximum of: ms until "ready on port", and by then ms of CPU time and MiB (private, and peak).
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from lanemux.rehearsal.balancers import BalancerEndpoints, configuration, free_address
 
 ROOT = Path(__file__).parent.parent
-HOST, NOBODY = "127.0.0.1", ("127.0.0.1", 9)  # of upstreams and discovery: a start asks nothing of them
+HOST, UNUSED_ADDRESS = "127.0.0.1", ("127.0.0.1", 9)  # of upstreams and discovery: a start contacts neither
 SIZES, ROUNDS = "10,200,500,1024", 7
-READY_S = 30.0  # the platform's bound
+READY_TIMEOUT_S = 30.0  # the platform's limit
 
 
 @dataclass(frozen=True)
 class Cost:
-    """Of one start until it was ready."""
+    """Cost of one start until it was ready."""
 
     ready_ms: float
     processor_ms: float
@@ -44,8 +44,8 @@
     most_mib: float
 
 
-def delivered(folder: Path, commit: str | None) -> Path:
-    """The package of a commit (None: of this tree) as a clean place has it after its `build`."""
+def install(folder: Path, commit: str | None) -> Path:
+    """Install the package of a commit (None: of this tree) into the folder, as its `build` leaves it."""
     if commit is None:
         for name in ("lanemux", "deploy"):
             shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
@@ -55,7 +55,7 @@
         ).stdout
         with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
             archive.extractall(folder, filter="data")
-    if (folder / "deploy" / "build").exists():  # the libraries are this interpreter's; of the rest, what it leaves
+    if (folder / "deploy" / "build").exists():  # the libraries are this interpreter's; of `build` only its bytecode
         subprocess.run(
             [sys.executable, "-m", "compileall", "-q", "--invalidation-mode", "checked-hash", "lanemux"],
             cwd=folder,
@@ -64,8 +64,8 @@
     return folder
 
 
-def told(size: int) -> dict[str, object]:
-    """A configuration with so many balancers and known upstreams."""
+def configuration_for(size: int) -> dict[str, object]:
+    """A configuration with `size` balancers and `size` known upstreams."""
     own = free_address(HOST, datagrams=True)
     peers = [own, *((f"127.1.{i // 250}.{1 + i % 250}", 7946) for i in range(size - 1))]
     hosts = [
@@ -87,31 +87,31 @@
         "profiles": [{"name": "read"}],
         "limits": {"peers": True, "send_cap": 3},
     }
-    place = BalancerEndpoints((HOST, 0), NOBODY, own, peers, (HOST, 9))
-    return configuration("n0", place, "8c1f30d27a5be964", {"seq": 1, "whole": True, "hosts": hosts}, settings)
+    endpoints = BalancerEndpoints((HOST, 0), UNUSED_ADDRESS, own, peers, (HOST, 9))
+    return configuration("n0", endpoints, "8c1f30d27a5be964", {"seq": 1, "whole": True, "hosts": hosts}, settings)
 
 
 def memory_mib(pid: int) -> tuple[float, float]:
-    """Private and at most (Linux, /proc/PID/status: RssAnon and VmHWM)."""
+    """Private and peak memory (Linux, /proc/PID/status: RssAnon and VmHWM)."""
     status = Path(f"/proc/{pid}/status").read_text()
     kib = [int(found[1]) for name in ("RssAnon", "VmHWM") if (found := re.search(rf"{name}:\s+(\d+)", status))]
     return kib[0] / 1024, kib[1] / 1024
 
 
 def processor_ms(pid: int) -> float:
-    """Processor time of the process so far (Linux, /proc/PID/schedstat, in ns)."""
+    """CPU time of the process so far (Linux, /proc/PID/schedstat, in ns)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e6
 
 
-def start(place: Path, size: int) -> Cost:
-    """One start; RuntimeError where it is not ready in READY_S."""
+def start(installation: Path, size: int) -> Cost:
+    """Start a balancer in an installation; RuntimeError if it is not ready within READY_TIMEOUT_S."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(told(size)))
+        path.write_text(json.dumps(configuration_for(size)))
         environment = {**os.environ, "RELAY_CONFIG": str(path), "PYTHONDONTWRITEBYTECODE": "1", "TMPDIR": folder}
         begun = time.monotonic()
         with subprocess.Popen(
-            [sys.executable, "-m", "lanemux"], cwd=place, env=environment, stderr=subprocess.PIPE
+            [sys.executable, "-m", "lanemux"], cwd=installation, env=environment, stderr=subprocess.PIPE
         ) as process:
             assert process.stderr is not None
             for line in process.stderr:
@@ -121,18 +121,20 @@
                     process.send_signal(signal.SIGTERM)
                     process.stderr.read()
                     return cost
-                if time.monotonic() - begun > READY_S:
+                if time.monotonic() - begun > READY_TIMEOUT_S:
                     break
             process.kill()
-    raise RuntimeError(f"{place}: not ready with {size}")
+    raise RuntimeError(f"{installation}: not ready with {size}")
 
 
 def summary(costs: list[Cost]) -> str:
-    def both(name: str) -> str:
+    """Table cells with median and maximum of each cost."""
+
+    def median_and_max(name: str) -> str:
         values = [getattr(c, name) for c in costs]
         return f"{statistics.median(values):.0f} ({max(values):.0f})"
 
-    return " | ".join(both(name) for name in ("ready_ms", "processor_ms", "private_mib", "most_mib"))
+    return " | ".join(median_and_max(name) for name in ("ready_ms", "processor_ms", "private_mib", "most_mib"))
 
 
 def main() -> int:
@@ -142,18 +144,18 @@
     parser.add_argument("--sizes", default=SIZES)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        places = {"now": delivered(Path(folder) / "now", None)}
+        installations = {"now": install(Path(folder) / "now", None)}
         if options.before:
             (Path(folder) / "before").mkdir()
-            places["before"] = delivered(Path(folder) / "before", options.before)
+            installations["before"] = install(Path(folder) / "before", options.before)
         print("| balancers and upstreams | code | ready, ms | processor, ms | private, MiB | at most, MiB |")
         print("| --- | --- | --- | --- | --- | --- |")
         for size in map(int, options.sizes.split(",")):
-            costs: dict[str, list[Cost]] = {name: [] for name in places}
+            costs: dict[str, list[Cost]] = {name: [] for name in installations}
             for _ in range(options.rounds):
-                for name, place in places.items():
-                    costs[name].append(start(place, size))
-            for name in places:
+                for name, installation in installations.items():
+                    costs[name].append(start(installation, size))
+            for name in installations:
                 print(f"| {size} | {name} | {summary(costs[name])} |")
     return 0
 
