--- a/tests/rehearsal/broken/accept_error_closes_listener.py
+++ b/tests/rehearsal/broken/accept_error_closes_listener.py
@@ -1,4 +1,4 @@
-"""Stops listening at the first accept that fails."""
+"""Fault: closes its listening socket when an accept fails."""
 
 import sys
 from typing import Any
@@ -7,9 +7,9 @@
 from lanemux.net.server import Server
 
 
-def close(self: Any, error: OSError) -> None:
+def stop_on_accept_error(self: Any, error: OSError) -> None:
     self.stop_listening()
 
 
-Server._accept_later = close  # type: ignore[method-assign]
+Server._accept_later = stop_on_accept_error  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/answers_twice.py
+++ b/tests/rehearsal/broken/answers_twice.py
@@ -1,4 +1,4 @@
-"""Writes one answer in fifty twice."""
+"""Fault: writes one answer in fifty twice."""
 
 import sys
 from typing import Any
@@ -7,17 +7,17 @@
 from lanemux.net.client_connection import ClientConnection
 
 answer = ClientConnection.answer
-count = [0]
+answer_count = [0]
 
 
-def again(self: Any, status: int, headers: Any = (), body: bytes = b"") -> None:
+def answer_with_duplicates(self: Any, status: int, headers: Any = (), body: bytes = b"") -> None:
     request = self._current
     answer(self, status, headers, body)
-    count[0] += 1
-    if count[0] % 50 == 0 and request is not None and not self._ended:
+    answer_count[0] += 1
+    if answer_count[0] % 50 == 0 and request is not None and not self._ended:
         self._current = request
         answer(self, status, headers, body)
 
 
-ClientConnection.answer = again  # type: ignore[method-assign]
+ClientConnection.answer = answer_with_duplicates  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/begins_after_client_left.py
+++ b/tests/rehearsal/broken/begins_after_client_left.py
@@ -1,4 +1,4 @@
-"""Learns 0.25 s late that a client has closed its connection."""
+"""Fault: handles the close of a client connection 0.25 s late."""
 
 import asyncio
 import sys
@@ -7,13 +7,13 @@
 from lanemux.net import daemon
 from lanemux.net.node import Node
 
-LATE_S = 0.25
-gone = Node.client_gone
+DELAY_S = 0.25
+client_gone = Node.client_gone
 
 
-def later(self: Any, client: Any) -> None:
-    asyncio.get_running_loop().call_later(LATE_S, gone, self, client)
+def client_gone_late(self: Any, client: Any) -> None:
+    asyncio.get_running_loop().call_later(DELAY_S, client_gone, self, client)
 
 
-Node.client_gone = later  # type: ignore[method-assign]
+Node.client_gone = client_gone_late  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/busy_after_failed_accept.py
+++ b/tests/rehearsal/broken/busy_after_failed_accept.py
@@ -1,4 +1,4 @@
-"""Tries again without a pause after an accept that failed."""
+"""Fault: retries at once, without a pause, after a failed accept."""
 
 import sys
 from typing import Any
@@ -7,9 +7,9 @@
 from lanemux.net.server import Server
 
 
-def again(self: Any, error: OSError) -> None:
-    """The listener stays readable: the loop calls accept again at once."""
+def retry_without_pause(self: Any, error: OSError) -> None:
+    """The listener stays readable, so the event loop calls accept again at once."""
 
 
-Server._accept_later = again  # type: ignore[method-assign]
+Server._accept_later = retry_without_pause  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/callback_dies_silently.py
+++ b/tests/rehearsal/broken/callback_dies_silently.py
@@ -1,4 +1,4 @@
-"""A callback that fails is never called again, and nothing is said."""
+"""Fault: an accept callback that fails once is never called again, and nothing is logged."""
 
 import asyncio
 import sys
@@ -6,10 +6,10 @@
 from lanemux.net import daemon
 from lanemux.net.server import Server
 
-accept = Server._accept_connections
+accept_connections = Server._accept_connections
 
 
-def accept_or_die(self: Server, limit: int) -> bool:
+def accept_or_unregister(self: Server, limit: int) -> bool:
     assert self._listener is not None
     try:
         self._register(self._listener.accept())
@@ -18,8 +18,8 @@
     except OSError:
         asyncio.get_running_loop().remove_reader(self._listener)
         return True
-    return accept(self, limit)
+    return accept_connections(self, limit)
 
 
-Server._accept_connections = accept_or_die  # type: ignore[method-assign]
+Server._accept_connections = accept_or_unregister  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/close_error_escapes.py
+++ b/tests/rehearsal/broken/close_error_escapes.py
@@ -1,4 +1,4 @@
-"""Lets out what `close` says, also where the process ends with it."""
+"""Fault: lets errors of `close` propagate, even where they end the process."""
 
 import asyncio
 import socket
@@ -12,11 +12,11 @@
 from lanemux.net.node import Node
 
 
-def close(self: MachineListener) -> None:
+def close_listener(self: MachineListener) -> None:
     self._socket.close()
 
 
-async def end(node: Node) -> None:
+async def drain_only(node: Node) -> None:
     await node.drain()
 
 
@@ -27,9 +27,9 @@
     return 0
 
 
-MachineListener.close = close  # type: ignore[method-assign]
+MachineListener.close = close_listener  # type: ignore[method-assign]
 EventLoop.close = asyncio.SelectorEventLoop.close  # type: ignore[method-assign]
 StreamSocket.close = socket.socket.close  # type: ignore[method-assign]
-daemon._end = end
+daemon._end = drain_only
 daemon._run_until_ended = run_until_ended
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/drops_requests_at_the_end.py
+++ b/tests/rehearsal/broken/drops_requests_at_the_end.py
@@ -1,4 +1,4 @@
-"""Exits 0.1 s after SIGTERM, whatever is open."""
+"""Fault: exits 0.1 s after SIGTERM, even with open requests."""
 
 import asyncio
 import os
@@ -9,10 +9,10 @@
 from lanemux.net.node import Node
 
 
-async def drop(self: Any) -> None:
+async def exit_without_drain(self: Any) -> None:
     await asyncio.sleep(0.1)
     os._exit(0)
 
 
-Node.drain = drop  # type: ignore[method-assign]
+Node.drain = exit_without_drain  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/flag_before_call.py
+++ b/tests/rehearsal/broken/flag_before_call.py
@@ -1,4 +1,4 @@
-"""Notes that it accepts before the kernel has been told to look at its listening socket."""
+"""Fault: sets its flag for accepting before `epoll_ctl` has registered the listening socket."""
 
 import asyncio
 import selectors
@@ -9,8 +9,8 @@
 from lanemux.net.server import Server
 
 
-class PlainSelector(selectors.EpollSelector):
-    """What `epoll_ctl` refuses is an error of whoever registers."""
+class NonRetryingSelector(selectors.EpollSelector):
+    """Raises failures of `epoll_ctl` to the caller that registers, without retries."""
 
     def __init__(self, failed: object) -> None:
         super().__init__()
@@ -25,11 +25,11 @@
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
 
-def look_at_listening(self: Server) -> None:
+def skip_check(self: Server) -> None:
     pass
 
 
-loop.__dict__["ResilientSelector"] = PlainSelector
+loop.__dict__["ResilientSelector"] = NonRetryingSelector
 Server._resume = resume  # type: ignore[method-assign]
-Server._check_listener = look_at_listening  # type: ignore[method-assign]
+Server._check_listener = skip_check  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/floods_cold.py
+++ b/tests/rehearsal/broken/floods_cold.py
@@ -1,4 +1,4 @@
-"""Sends all it can to the upstream that started last, without care for its being cold."""
+"""Fault: sends as much as possible to the upstream that started last, and ignores that it is cold."""
 
 import sys
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 pick = Fleet.pick
 
 
-def youngest(self: Any, pool: Pool, now: int, allowed: Iterable[Server] | None = None) -> Server | None:
+def pick_youngest(self: Any, pool: Pool, now: int, allowed: Iterable[Server] | None = None) -> Server | None:
     new = [s for s in pool.all() if s.entry.started_ns and s.inflight < 12]
     return max(new, key=lambda s: s.entry.started_ns, default=None) or pick(self, pool, now, allowed)
 
@@ -19,6 +19,6 @@
     return False
 
 
-Fleet.pick = youngest  # type: ignore[method-assign]
+Fleet.pick = pick_youngest  # type: ignore[method-assign]
 Fleet.is_cold = never_cold  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/ignores_deadlines.py
+++ b/tests/rehearsal/broken/ignores_deadlines.py
@@ -1,4 +1,4 @@
-"""Takes every request for one that has ten seconds."""
+"""Fault: adds ten seconds to every deadline, and sets every answer-time target to ten seconds."""
 
 import sys
 from typing import Any
@@ -8,20 +8,20 @@
 from lanemux.net import config, daemon
 from lanemux.net.node import Node
 
-MORE_NS = 10_000_000_000
+EXTRA_NS = 10_000_000_000
 open_call = Node._open
 
 
-def patient(self: Any, client: Any, request: Any, class_name: str, deadline_ns: int) -> None:
-    open_call(self, client, request, class_name, deadline_ns + MORE_NS)
+def open_with_late_deadline(self: Any, client: Any, request: Any, class_name: str, deadline_ns: int) -> None:
+    open_call(self, client, request, class_name, deadline_ns + EXTRA_NS)
 
 
-def long_aims(raw: Any) -> api.Settings:
+def read_settings_with_long_aims(raw: Any) -> api.Settings:
     for row in raw["profiles"]:
-        row["aim_ns"] = MORE_NS
+        row["aim_ns"] = EXTRA_NS
     return read_settings(raw)
 
 
-Node._open = patient  # type: ignore[method-assign]
-config.read_settings = long_aims  # type: ignore[attr-defined]
+Node._open = open_with_late_deadline  # type: ignore[method-assign]
+config.read_settings = read_settings_with_long_aims  # type: ignore[attr-defined]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/imports_once.py
+++ b/tests/rehearsal/broken/imports_once.py
@@ -1,4 +1,4 @@
-"""Imports the program with one try: what fails for a moment is an error of the import."""
+"""Fault: imports the program without retries, so that a transient failure ends the start."""
 
 import signal
 import sys
--- a/tests/rehearsal/broken/late_drain.py
+++ b/tests/rehearsal/broken/late_drain.py
@@ -1,4 +1,4 @@
-"""Acts on drains and removals a second and a half after it was told."""
+"""Fault: applies drains and removals a second and a half late."""
 
 import asyncio
 import sys
@@ -8,17 +8,17 @@
 from lanemux.net import daemon
 from lanemux.net.upstream_set import UpstreamSet
 
-LATE_S = 1.5
-listed = UpstreamSet.apply_listing
+DELAY_S = 1.5
+apply_listing = UpstreamSet.apply_listing
 
 
-def later(self: Any, listing: Any) -> None:
-    ends = listing is not None and any(e.upstream.state is not api.State.READY for e in listing.entries)
-    if ends:
-        asyncio.get_running_loop().call_later(LATE_S, listed, self, listing)
+def apply_listing_late(self: Any, listing: Any) -> None:
+    has_drain_or_removal = listing is not None and any(e.upstream.state is not api.State.READY for e in listing.entries)
+    if has_drain_or_removal:
+        asyncio.get_running_loop().call_later(DELAY_S, apply_listing, self, listing)
     else:
-        listed(self, listing)
+        apply_listing(self, listing)
 
 
-UpstreamSet.apply_listing = later  # type: ignore[method-assign]
+UpstreamSet.apply_listing = apply_listing_late  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/leaks_connections.py
+++ b/tests/rehearsal/broken/leaks_connections.py
@@ -1,6 +1,6 @@
-"""Closes no connection to an upstream, and uses one in four no second time.
+"""Fault: never closes a connection to an upstream, and does not reuse one in four.
 
-One in four: were it every one, thousands of open connections would make the kit's boxes late and the run not valid."""
+Only one in four: with all, thousands of open connections would make the fake boxes late and the run not valid."""
 
 import sys
 from typing import Any
@@ -8,15 +8,15 @@
 from lanemux.net import daemon
 from lanemux.net.upstream import Connection, Pool
 
-kept: list[Connection] = []
-keep = Pool.keep
+leaked: list[Connection] = []
+keep_connection = Pool.keep
 
 
-def leak(self: Any, connection: Connection) -> None:
-    kept.append(connection)
-    if len(kept) % 4:
-        keep(self, connection)
+def leak_one_in_four(self: Any, connection: Connection) -> None:
+    leaked.append(connection)
+    if len(leaked) % 4:
+        keep_connection(self, connection)
 
 
-Pool.keep = leak  # type: ignore[method-assign]
+Pool.keep = leak_one_in_four  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/lost_wakeup.py
+++ b/tests/rehearsal/broken/lost_wakeup.py
@@ -1,4 +1,4 @@
-"""Hears signals only by the byte that wakes its loop."""
+"""Fault: receives signals only through the byte that wakes its event loop."""
 
 import asyncio
 import signal
--- a/tests/rehearsal/broken/never_answers.py
+++ b/tests/rehearsal/broken/never_answers.py
@@ -1,4 +1,4 @@
-"""Never answers one request in a thousand."""
+"""Fault: never answers one request in a thousand."""
 
 import random
 import sys
@@ -9,15 +9,15 @@
 
 SHARE = 0.001
 finish = Node._finish
-draw = random.Random()
+rng = random.Random()
 
 
-def silent(self: Any, active: Any, status: int, headers: Any = (), body: bytes = b"") -> None:
-    if not active.finished and draw.random() < SHARE:
+def finish_or_drop(self: Any, active: Any, status: int, headers: Any = (), body: bytes = b"") -> None:
+    if not active.finished and rng.random() < SHARE:
         self._drop(active)
     else:
         finish(self, active, status, headers, body)
 
 
-Node._finish = silent  # type: ignore[method-assign]
+Node._finish = finish_or_drop  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/repeats_unsafe.py
+++ b/tests/rehearsal/broken/repeats_unsafe.py
@@ -1,4 +1,4 @@
-"""Takes every class for one that is safe to repeat."""
+"""Fault: treats every request class as safe to retry."""
 
 import dataclasses
 import sys
@@ -11,10 +11,10 @@
 may_send = Request.may_send
 
 
-def all_safe(self: Any, *rest: Any) -> bool:
+def may_send_as_safe(self: Any, *rest: Any) -> bool:
     self.cls = dataclasses.replace(self.cls, effect=api.Effect.SAFE)
     return may_send(self, *rest)
 
 
-Request.may_send = all_safe  # type: ignore[method-assign, assignment]
+Request.may_send = may_send_as_safe  # type: ignore[method-assign, assignment]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/resends_silently.py
+++ b/tests/rehearsal/broken/resends_silently.py
@@ -1,4 +1,4 @@
-"""Sends an attempt once more, at the same upstream, where no answer has come for 150 ms; tells nobody."""
+"""Fault: sends an attempt without answer again after 150 ms, to the same upstream, and does not report it."""
 
 import sys
 from typing import Any
@@ -7,7 +7,7 @@
 from lanemux.net.node import Node
 from lanemux.net.upstream import Exchange
 
-AFTER_S = 0.15
+RESEND_DELAY_S = 0.15
 send = Node._send
 
 
@@ -16,12 +16,12 @@
         Exchange(exchange.pool, exchange.render, lambda result, response: None).start(None)
 
 
-def watched(self: Any, action: Any) -> None:
+def send_and_resend(self: Any, action: Any) -> None:
     send(self, action)
-    call = self._active_requests.get(action.request)
-    if call is not None and call.exchange is not None:
-        self._loop.call_later(AFTER_S, resend, call.exchange)
+    active_request = self._active_requests.get(action.request)
+    if active_request is not None and active_request.exchange is not None:
+        self._loop.call_later(RESEND_DELAY_S, resend, active_request.exchange)
 
 
-Node._send = watched  # type: ignore[method-assign]
+Node._send = send_and_resend  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/start_gives_up.py
+++ b/tests/rehearsal/broken/start_gives_up.py
@@ -1,4 +1,4 @@
-"""Ends at the first failure of a call that its start needs."""
+"""Fault: exits at the first failure of a call that its start needs."""
 
 import sys
 from collections.abc import Awaitable, Callable
@@ -10,9 +10,9 @@
 T = TypeVar("T")
 
 
-async def once(what: str, attempt: Callable[[], Awaitable[T]], counter: FailureCounter) -> T:
+async def try_once(what: str, attempt: Callable[[], Awaitable[T]], counter: FailureCounter) -> T:
     return await attempt()
 
 
-node.acquire = once  # type: ignore[attr-defined]
+node.acquire = try_once  # type: ignore[attr-defined]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/two_at_once.py
+++ b/tests/rehearsal/broken/two_at_once.py
@@ -1,4 +1,4 @@
-"""Sends one request in ten to two upstreams at once."""
+"""Fault: sends one request in ten to two upstreams at once."""
 
 import sys
 from typing import Any
@@ -11,15 +11,15 @@
 send = Node._send
 
 
-def twice(self: Any, action: api.Send) -> None:
+def send_to_two(self: Any, action: api.Send) -> None:
     send(self, action)
-    call = self._active_requests.get(action.request)
-    if call is None or call.exchange is None or int(call.id) % 10:
+    active_request = self._active_requests.get(action.request)
+    if active_request is None or active_request.exchange is None or int(active_request.id) % 10:
         return
-    other = next((p for n, p in self._hub.pools.items() if n != action.upstream and p.ready), None)
+    other = next((pool for number, pool in self._hub.pools.items() if number != action.upstream and pool.ready), None)
     if other is not None:
-        Exchange(other, call.exchange.render, lambda result, response: None).start(None)
+        Exchange(other, active_request.exchange.render, lambda result, response: None).start(None)
 
 
-Node._send = twice  # type: ignore[method-assign]
+Node._send = send_to_two  # type: ignore[method-assign]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/waits_by_wall_clock.py
+++ b/tests/rehearsal/broken/waits_by_wall_clock.py
@@ -1,4 +1,4 @@
-"""Its timers and deadlines follow the wall clock."""
+"""Fault: its timers and deadlines follow the wall clock."""
 
 import sys
 import time
@@ -7,9 +7,9 @@
 from lanemux.net import daemon
 
 
-def wall(self: EventLoop) -> float:
+def wall_clock(self: EventLoop) -> float:
     return time.time()
 
 
-EventLoop.time = wall  # type: ignore[method-assign, assignment]
+EventLoop.time = wall_clock  # type: ignore[method-assign, assignment]
 sys.exit(daemon.main())
--- a/tests/rehearsal/broken/write_error_ends_connection.py
+++ b/tests/rehearsal/broken/write_error_ends_connection.py
@@ -1,4 +1,4 @@
-"""Takes any failed read or write for the end of its connection."""
+"""Fault: closes a connection at any failed read or write, even a transient one."""
 
 import sys
 
