--- a/tests/rehearsal/broken/two_at_once.py
+++ b/tests/rehearsal/broken/two_at_once.py
@@ -16,7 +16,9 @@
     active_request = self._active_requests.get(action.request)
     if active_request is None or active_request.exchange is None or int(active_request.id) % 10:
         return
-    other = next((pool for number, pool in self._pool_manager.pools.items() if number != action.upstream and pool.ready), None)
+    other = next(
+        (pool for number, pool in self._pool_manager.pools.items() if number != action.upstream and pool.ready), None
+    )
     if other is not None:
         Exchange(other, active_request.exchange.render, lambda result, response: None).start(None)
 
