--- a/bench/outages.py
+++ b/bench/outages.py
@@ -26,9 +26,9 @@
 from lanemux.rehearsal.service import over_time
 from lanemux.storm.module import StormModule, StormOptions
 from lanemux.storm.restarts import RestartDetector
-from lanemux.virtual.network import Weather
-from lanemux.virtual.script import Script, Setting
-from lanemux.virtual.stage import play
+from lanemux.virtual.network import LinkConditions
+from lanemux.virtual.script import Script, WorldSetup
+from lanemux.virtual.simulation import play
 
 MS, SECOND = 1_000_000, 1_000_000_000
 OFF, ON = "off", "on"
@@ -96,10 +96,10 @@
 PARTNER, PARTNERS_WORLD = "miami-desk", "partner"  # who storms there: the kit's partner-storm
 
 
-def setting(name: str) -> Setting:
+def setting(name: str) -> WorldSetup:
     """The world as the virtual stage takes it."""
-    links = dict.fromkeys(("client", "box", "list", "peer"), Weather(jitter_ns=100_000))
-    return Setting(find("partner-storm", "") if name == PARTNERS_WORLD else _outage(WORLDS[name]), links)
+    links = dict.fromkeys(("client", "box", "list", "peer"), LinkConditions(jitter_ns=100_000))
+    return WorldSetup(find("partner-storm", "") if name == PARTNERS_WORLD else _outage(WORLDS[name]), links)
 
 
 def _outage(world: World) -> Scenario:
@@ -144,7 +144,7 @@
     def around(decides: Balancer, told: api.Settings, seed: int, now: int) -> StormModule | Balancer:
         return decides if kind is None else kind(decides, told, StormOptions(), seed, now)
 
-    result = play(Script(seed), made=setting(name), around=around)
+    result = play(Script(seed), setup=setting(name), wrap_module=around)
     broken: dict[str, int] = {}
     for violation in result.violations:
         broken[violation.rule] = broken.get(violation.rule, 0) + 1
--- a/bench/simulate.py
+++ b/bench/simulate.py
@@ -20,9 +20,9 @@
 from typing import Any
 
 from lanemux.rehearsal.command import find
-from lanemux.virtual.network import Weather
-from lanemux.virtual.script import Script, Setting
-from lanemux.virtual.stage import play
+from lanemux.virtual.network import LinkConditions
+from lanemux.virtual.script import Script, WorldSetup
+from lanemux.virtual.simulation import play
 from tests.virtual.planted import PLANTED, ROOT, STORMS, Planted, plant
 
 MOST_SEEDS = 2000
@@ -107,8 +107,8 @@
                 timeout=300,
             )
             real = json.loads(Path(file.name).read_text())
-        links = dict.fromkeys(("client", "box", "list", "peer"), Weather())
-        virtual = play(Script(seed), made=Setting(scenario, links)).figures
+        links = dict.fromkeys(("client", "box", "list", "peer"), LinkConditions())
+        virtual = play(Script(seed), setup=WorldSetup(scenario, links)).figures
         rows.append((real["service"], virtual.service))
         print(
             f"seed {seed}: real {real['service']:.4f} ({real['answered_in_time']} of {real['asked']} in time, "
--- a/lanemux/virtual/command.py
+++ b/lanemux/virtual/command.py
@@ -18,7 +18,7 @@
 from lanemux.validation import installed
 from lanemux.virtual.script import EVENTS, FAULTS, Script, as_test, draw, needs_etcd
 from lanemux.virtual.shrink import MOST_TRIES, shrink
-from lanemux.virtual.stage import Result, play
+from lanemux.virtual.simulation import Result, play
 
 PASSED, FAILED, BAD_USE = 0, 1, 2
 DEFAULT_SEEDS = "1-200"
--- a/lanemux/virtual/agenda.py
+++ b/lanemux/virtual/event_queue.py
@@ -24,7 +24,7 @@
         self.off = True
 
 
-class Agenda:
+class EventQueue:
     """The clock and what is due on it."""
 
     def __init__(self, rng: random.Random) -> None:
--- a/lanemux/virtual/faults/balancer.py
+++ b/lanemux/virtual/faults/balancer.py
@@ -13,7 +13,7 @@
 from lanemux.virtual.faults import BalancerFault
 
 if TYPE_CHECKING:
-    from lanemux.virtual.stage import Stage
+    from lanemux.virtual.simulation import Simulation
 
 
 READY_NS = 250 * MS  # from a balancer's start until the front knows it again
@@ -27,7 +27,7 @@
 class BalancerFaults:
     """What befalls balancers."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Simulation) -> None:
         self._stage = stage
         self.by_name: dict[str, BalancerFault] = {
             "still": self._still,
--- a/lanemux/virtual/faults/box.py
+++ b/lanemux/virtual/faults/box.py
@@ -11,7 +11,7 @@
 from lanemux.virtual.network import End
 
 if TYPE_CHECKING:
-    from lanemux.virtual.stage import Stage
+    from lanemux.virtual.simulation import Simulation
 
 
 RESTART_NS = 300 * MS  # from a drained box's exit to its next start
@@ -21,7 +21,7 @@
 class BoxFaults:
     """What befalls boxes."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Simulation) -> None:
         self._stage = stage
         self.by_name: dict[str, BoxFault] = {
             "drain": self._drain,
--- a/lanemux/virtual/faults/client.py
+++ b/lanemux/virtual/faults/client.py
@@ -12,7 +12,7 @@
 from lanemux.virtual.network import Address, End
 
 if TYPE_CHECKING:
-    from lanemux.virtual.stage import Stage
+    from lanemux.virtual.simulation import Simulation
 
 
 HALF_NS = 100 * MS
@@ -22,7 +22,7 @@
 class ClientFaults:
     """What befalls clients, each of a balancer."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Simulation) -> None:
         self._stage = stage
         self.by_name: dict[str, BalancerFault] = {
             "leave": self._leave,
--- a/lanemux/virtual/faults/discovery.py
+++ b/lanemux/virtual/faults/discovery.py
@@ -9,7 +9,7 @@
 from lanemux.virtual.faults import BalancerFault
 
 if TYPE_CHECKING:
-    from lanemux.virtual.stage import Stage
+    from lanemux.virtual.simulation import Simulation
 
 
 BURST_NS = 10 * MS
@@ -18,7 +18,7 @@
 class DiscoveryFaults:
     """What befalls what a balancer is told."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Simulation) -> None:
         self._stage = stage
         self.by_name: dict[str, BalancerFault] = {
             "burst": self._burst,
--- a/lanemux/virtual/loop.py
+++ b/lanemux/virtual/loop.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any, cast
 
-from lanemux.virtual.agenda import NEVER
+from lanemux.virtual.event_queue import NEVER
 from lanemux.virtual.network import Address
 from lanemux.virtual.sockets import DatagramSocket, StreamSocket, VirtualSocket
 
--- a/lanemux/virtual/network.py
+++ b/lanemux/virtual/network.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lanemux.virtual.agenda import NEVER, Agenda
+from lanemux.virtual.event_queue import NEVER, EventQueue
 
 Address = tuple[str, int]
 MS = 1_000_000
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
+class LinkConditions:
     """How one kind of link behaves all through a run."""
 
     latency_ns: int = 50_000
@@ -70,7 +70,7 @@
 class End:
     """One end of a stream, as the kernel of its process holds it."""
 
-    def __init__(self, network: Network, label: Label, weather: Weather, opener: bool) -> None:
+    def __init__(self, network: Network, label: Label, weather: LinkConditions, opener: bool) -> None:
         self.network, self.label, self.weather = network, label, weather
         self.opener = opener  # this end opened the stream
         self.incoming = Pipe()
@@ -262,9 +262,9 @@
 
     def __init__(
         self,
-        agenda: Agenda,
+        agenda: EventQueue,
         rng: random.Random,
-        weather: dict[str, Weather],
+        weather: dict[str, LinkConditions],
         seen: Seen = lambda kind, what, label, about: None,
     ) -> None:
         self.agenda, self.rng, self.weather = agenda, rng, weather
@@ -298,7 +298,7 @@
     def held_until(self, label: Label) -> int:
         return self._held.get((label.kind, label.to), 0)
 
-    def arrival(self, label: Label, weather: Weather) -> int:
+    def arrival(self, label: Label, weather: LinkConditions) -> int:
         wait = weather.latency_ns
         if weather.jitter_ns:
             wait += self.rng.randrange(weather.jitter_ns)
@@ -310,7 +310,7 @@
         """Open a stream; `up` is told its end, or None: refused. Gives what calls it off."""
         kind, number = self.places.get(to, ("other", 0))
         label = Label(kind, opener, number)
-        weather = self.weather.get(kind, Weather())
+        weather = self.weather.get(kind, LinkConditions())
         off = [False]
 
         def call_off() -> None:
@@ -337,7 +337,7 @@
         self,
         queue: Queue,
         label: Label,
-        weather: Weather,
+        weather: LinkConditions,
         own: Address,
         up: Callable[[End | None], None],
         off: list[bool],
@@ -371,7 +371,7 @@
     def send(self, data: bytes, own: Address, to: Address) -> None:
         """A datagram: it may be lost, come twice, late and in any order."""
         kind, number = self.places.get(to, ("other", 0))
-        weather, rng = self.weather.get(kind, Weather()), self.rng
+        weather, rng = self.weather.get(kind, LinkConditions()), self.rng
         label = Label(kind, f"{own[0]}:{own[1]}", number)
         if self.held_until(label) > self.now_ns or rng.random() < weather.loss:
             return
--- a/lanemux/virtual/observed.py
+++ b/lanemux/virtual/observed.py
@@ -12,7 +12,9 @@
 
 OVER_NS = 5 * MS  # an attempt may end so long after its time-out: turns take time
 
-Round = Callable[[Balancer, api.Settings, int, int], Module]  # what stands round the decisions; with seed and time
+ModuleWrapper = Callable[
+    [Balancer, api.Settings, int, int], Module
+]  # what stands round the decisions; with seed and time
 
 
 class Observed:
@@ -23,14 +25,16 @@
         settings_told: api.Settings,
         seed: int,
         now: int,
-        around: Round | None,
+        wrap_module: ModuleWrapper | None,
         accuse: Callable[[str, str], None],
         excused: Callable[[int, int], bool],
         listed: Callable[[int, api.ListUpdate], None],
         sending: Callable[[], None],
     ) -> None:
         self.decides = Balancer(settings_told, seed, now)
-        self.inner: Module = around(self.decides, settings_told, seed, now) if around is not None else self.decides
+        self.inner: Module = (
+            wrap_module(self.decides, settings_told, seed, now) if wrap_module is not None else self.decides
+        )
         self.out: dict[tuple[str, int], int] = {}  # attempt -> when it is to time out; 0: not told
         self._sends: Counter[str] = Counter()
         self._accuse, self._excused, self._listed, self._sending = accuse, excused, listed, sending
--- a/lanemux/virtual/process.py
+++ b/lanemux/virtual/process.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING, Any, cast
 
-from lanemux.virtual.agenda import NEVER
 from lanemux.virtual.disk import Disk
+from lanemux.virtual.event_queue import NEVER
 from lanemux.virtual.loop import VirtualLoop
 from lanemux.virtual.network import Address
 from lanemux.virtual.sockets import FIRST_FILENO, StreamSocket, VirtualSocket, failure
--- a/lanemux/virtual/judge.py
+++ b/lanemux/virtual/rule_checker.py
@@ -89,7 +89,7 @@
                 break
 
 
-class Judge:
+class RuleChecker:
     """Looks at the books after each step; `violations` grows."""
 
     def __init__(
--- a/lanemux/virtual/script.py
+++ b/lanemux/virtual/script.py
@@ -20,7 +20,7 @@
     RequestClass,
     Scenario,
 )
-from lanemux.virtual.network import MS, Weather
+from lanemux.virtual.network import MS, LinkConditions
 
 EVENTS = (
     "box up",
@@ -110,11 +110,11 @@
 
 
 @dataclass(slots=True)
-class Setting:
+class WorldSetup:
     """What a seed makes of the world, before anything goes wrong."""
 
     scenario: Scenario
-    weather: dict[str, Weather] = field(default_factory=dict)
+    weather: dict[str, LinkConditions] = field(default_factory=dict)
     busy_ns: int = 0
     sockets: int = 1024
 
@@ -127,7 +127,7 @@
 PARTNERS = (Partner("brooklyn-desk", 0.6, (0.8, 1.2)), Partner("toronto-desk", 0.4, (0.8, 1.2)))
 
 
-def setting(seed: int, calm: bool = False, storm: bool = False) -> Setting:
+def world_setup(seed: int, calm: bool = False, storm: bool = False) -> WorldSetup:
     """The world of a seed."""
     made = _usual(seed, calm)
     if storm:
@@ -153,10 +153,10 @@
 
 def needs_etcd(seed: int) -> bool:
     """Do the balancers of this seed take their list from etcd?"""
-    return setting(seed).scenario.discovery.source == "etcd"
+    return world_setup(seed).scenario.discovery.source == "etcd"
 
 
-def _usual(seed: int, calm: bool) -> Setting:
+def _usual(seed: int, calm: bool) -> WorldSetup:
     rng = random.Random(f"{seed}/setting")
     boxes, balancers = rng.randint(2, 5), rng.choice((1, 2, 2, 3))
     source = "etcd" if rng.random() < 0.35 else "agent"
@@ -181,19 +181,19 @@
         classes=CLASSES,
         partners=PARTNERS,
     )
-    made = Setting(scenario, sockets=rng.choice((1024, 1024, 96)))
+    made = WorldSetup(scenario, sockets=rng.choice((1024, 1024, 96)))
     if not calm:
         made.weather = {kind: _weather(rng, kind) for kind in ("client", "box", "list", "peer")}
         made.busy_ns = rng.choice((0, 0, 40_000, 400_000))
     return made
 
 
-def _weather(rng: random.Random, kind: str) -> Weather:
+def _weather(rng: random.Random, kind: str) -> LinkConditions:
     """Links that are often exactly as fast as one another, so that things arrive in the same instant."""
     latency = rng.choice((0, 50_000, 50_000, 1_000_000, 3_000_000))
     jitter = rng.choice((0, 0, 100_000, 2_000_000))
     if kind == "peer":
-        return Weather(
+        return LinkConditions(
             latency,
             jitter,
             loss=rng.choice((0.0, 0.1, 0.5)),
@@ -201,12 +201,12 @@
             late=rng.choice((0.0, 0.1)),
             late_ns=rng.choice((500, LATE_MS)) * MS,
         )
-    return Weather(latency, jitter, cut=rng.choice((0.0, 0.0, 0.5, 0.9)), room=rng.choice((700, 4096, 65_536)))
+    return LinkConditions(latency, jitter, cut=rng.choice((0.0, 0.0, 0.5, 0.9)), room=rng.choice((700, 4096, 65_536)))
 
 
 def draw(seed: int, storm: bool = False) -> Script:
     """The script of a seed; with `storm`, one in which boxes die together."""
-    world, rng = setting(seed, storm=storm), random.Random(f"{seed}/{'storm ' if storm else ''}faults")
+    world, rng = world_setup(seed, storm=storm), random.Random(f"{seed}/{'storm ' if storm else ''}faults")
     faults: list[Fault] = []
     if storm:
         first = rng.uniform(300, 1200)
@@ -237,7 +237,7 @@
     return Script(seed, tuple(faults), storm=storm)
 
 
-def _fault(rng: random.Random, world: Setting) -> Fault:
+def _fault(rng: random.Random, world: WorldSetup) -> Fault:
     source = world.scenario.discovery.source
     kinds = [
         k
--- a/lanemux/virtual/sight.py
+++ b/lanemux/virtual/sight.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from lanemux.virtual.agenda import ZERO_NS
+from lanemux.virtual.event_queue import ZERO_NS
 from lanemux.virtual.network import End
 from lanemux.virtual.process import Process
 from lanemux.virtual.sockets import StreamSocket
--- a/lanemux/virtual/stage.py
+++ b/lanemux/virtual/simulation.py
@@ -38,17 +38,17 @@
 from lanemux.storm.connection_admission import ConnectionAdmission
 from lanemux.storm.module import StormModule, StormOptions
 from lanemux.virtual import leftovers
-from lanemux.virtual.agenda import ZERO_NS
 from lanemux.virtual.balancer import CONFIGURATION, RestartableBalancer
+from lanemux.virtual.event_queue import ZERO_NS
 from lanemux.virtual.faults.balancer import BalancerFaults
 from lanemux.virtual.faults.box import BoxFaults
 from lanemux.virtual.faults.client import ClientFaults
 from lanemux.virtual.faults.discovery import DiscoveryFaults
-from lanemux.virtual.judge import Excuses, Judge
 from lanemux.virtual.network import Address, Label
-from lanemux.virtual.observed import OVER_NS, Observed, Round
+from lanemux.virtual.observed import OVER_NS, ModuleWrapper, Observed
 from lanemux.virtual.process import Process
-from lanemux.virtual.script import ABOUT_EVENT, BOXES, Fault, Script, Setting, setting
+from lanemux.virtual.rule_checker import Excuses, RuleChecker
+from lanemux.virtual.script import ABOUT_EVENT, BOXES, Fault, Script, WorldSetup, world_setup
 from lanemux.virtual.sight import ExactSight, NoLooks
 from lanemux.virtual.world import World
 
@@ -84,29 +84,33 @@
     return StormModule(decides, told, STORM_PLAN, seed, now)
 
 
-class Stage:
+class Simulation:
     """All parties of one virtual run."""
 
     def __init__(
-        self, script: Script, traced: bool = False, made: Setting | None = None, around: Round | None = None
+        self,
+        script: Script,
+        traced: bool = False,
+        setup: WorldSetup | None = None,
+        wrap_module: ModuleWrapper | None = None,
     ) -> None:
-        """`around`: round the decisions; None: the storm's module in storms, else nothing."""
+        """`wrap_module`: round the decisions; None: the storm's module in storms, else nothing."""
         self.script = script
-        self._around = around or (_storm if script.storm else None)
-        made = made or setting(script.seed, script.calm, script.storm)
-        self.plan = draw(made.scenario, script.seed)
+        self._wrap_module = wrap_module or (_storm if script.storm else None)
+        setup = setup or world_setup(script.seed, script.calm, script.storm)
+        self.plan = draw(setup.scenario, script.seed)
         self.drawn = len(self.plan.asks)
         if script.asks is not None:
             kept = set(script.asks)
             self.plan.asks = [dataclasses.replace(a) for a in self.plan.asks if a.number in kept]
         self._number_asks()
-        self.sockets = made.sockets
-        self.world = World(f"{script.seed}/world", made.weather)
-        self.world.busy_ns = made.busy_ns
+        self.sockets = setup.sockets
+        self.world = World(f"{script.seed}/world", setup.weather)
+        self.world.busy_ns = setup.busy_ns
         self.books, self.boxes_books, self.excuses = CallerBooks(), BoxBooks(), Excuses()
         self.closed: dict[int, dict[int, list[list[int]]]] = {}  # balancer -> upstream -> spans from read news to news
         self.ids = Membership(0)  # numbers hosts as every balancer does
-        self.judge = Judge(
+        self.judge = RuleChecker(
             self.plan,
             self.boxes_books,
             self.books,
@@ -315,7 +319,7 @@
         self.write_configuration(balancer)
 
         def module(told: api.Settings, seed: int, now: int) -> Observed:
-            balancer.module = Observed(told, seed, now, self._around, accuse, excused, listed, sending)
+            balancer.module = Observed(told, seed, now, self._wrap_module, accuse, excused, listed, sending)
             return balancer.module
 
         def accuse(rule: str, what: str) -> None:
@@ -508,8 +512,10 @@
         logging.disable(before)
 
 
-def play(script: Script, traced: bool = False, made: Setting | None = None, around: Round | None = None) -> Result:
-    """Play a script on a virtual clock; `made`: in this setting, and not in that of its seed; `around`: with this
+def play(
+    script: Script, traced: bool = False, setup: WorldSetup | None = None, wrap_module: ModuleWrapper | None = None
+) -> Result:
+    """Play a script on a virtual clock; `setup`: in this setting, and not in that of its seed; `wrap_module`: with this
     round the decisions."""
     with quiet():
-        return Stage(script, traced, made, around).play()
+        return Simulation(script, traced, setup, wrap_module).play()
--- a/lanemux/virtual/world.py
+++ b/lanemux/virtual/world.py
@@ -7,8 +7,8 @@
 import random
 from collections.abc import Callable
 
-from lanemux.virtual.agenda import NEVER, Agenda
-from lanemux.virtual.network import Label, Network, Weather
+from lanemux.virtual.event_queue import NEVER, EventQueue
+from lanemux.virtual.network import Label, LinkConditions, Network
 from lanemux.virtual.process import Process
 
 SPIN = 200_000  # steps in one instant: more is a loop without end
@@ -21,9 +21,9 @@
 class World:
     """Everything that happens, from one seed."""
 
-    def __init__(self, seed: str, weather: dict[str, Weather]) -> None:
+    def __init__(self, seed: str, weather: dict[str, LinkConditions]) -> None:
         self.rng = random.Random(seed)
-        self.agenda = Agenda(self.rng)
+        self.agenda = EventQueue(self.rng)
         self.network = Network(self.agenda, self.rng, weather, self._seen)
         self.processes: list[Process] = []
         self.busy_ns = 0  # a turn of a loop keeps its process busy for up to so long
--- a/tests/virtual/test_hard_cases.py
+++ b/tests/virtual/test_hard_cases.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lanemux.virtual.network import MS, Weather
-from lanemux.virtual.script import Fault, Script, setting
-from lanemux.virtual.stage import Result, play
+from lanemux.virtual.network import MS, LinkConditions
+from lanemux.virtual.script import Fault, Script, world_setup
+from lanemux.virtual.simulation import Result, play
 
 SEEDS = (1, 2, 3, 4)  # 1, 3 and 4 follow etcd, 2 an agent
 AGENT, ETCD = 2, 3
@@ -80,15 +80,15 @@
 
 @pytest.mark.parametrize("seed", [1, 3])  # with several balancers
 def test_messages_between_balancers_are_lost_doubled_and_minutes_late(seed: int) -> None:
-    made = setting(seed)
+    made = world_setup(seed)
     assert made.scenario.fleet.balancers > 1
-    weather = {**made.weather, "peer": Weather(1000, 30 * MS, loss=0.4, twice=0.4, late=0.4, late_ns=MINUTES_NS)}
+    weather = {**made.weather, "peer": LinkConditions(1000, 30 * MS, loss=0.4, twice=0.4, late=0.4, late_ns=MINUTES_NS)}
     result = play(
         Script(
             seed,
             (Fault("deaf", who=0, at_ms=1000.0, for_ms=1000.0), Fault("drain", who=0, at_ms=1500.0, for_ms=1500.0)),
         ),
-        made=dataclasses.replace(made, weather=weather),
+        setup=dataclasses.replace(made, weather=weather),
     )
     assert result.violations == [] and result.figures.service > 0.2
 
--- a/tests/virtual/test_judge.py
+++ b/tests/virtual/test_judge.py
@@ -6,15 +6,15 @@
 
 from lanemux.rehearsal.books import Attempt, BoxBooks, CallerBooks, Life, Oddity, Told, Try
 from lanemux.rehearsal.plan import MS, SECOND, draw
-from lanemux.virtual.judge import Excuses, Judge
-from lanemux.virtual.script import setting
+from lanemux.virtual.rule_checker import Excuses, RuleChecker
+from lanemux.virtual.script import world_setup
 
 GRACE = 500 * MS
 
 
-def judge(excuses: Excuses | None = None) -> tuple[Judge, BoxBooks, CallerBooks]:
+def judge(excuses: Excuses | None = None) -> tuple[RuleChecker, BoxBooks, CallerBooks]:
     boxes, callers = BoxBooks(), CallerBooks()
-    return Judge(draw(setting(1).scenario, 1), boxes, callers, excuses or Excuses()), boxes, callers
+    return RuleChecker(draw(world_setup(1).scenario, 1), boxes, callers, excuses or Excuses()), boxes, callers
 
 
 def attempt(at_ns: int, name: str = "r", box: int = 0, open_ns: int = 0, how: str = "answered") -> Attempt:
@@ -25,7 +25,7 @@
     return Try(0, 0, "r", 0, "/rate-lookup/0", sent_ns, sent_ns + 100 * MS, end_ns, "answered", status)
 
 
-def rules(made: Judge) -> list[str]:
+def rules(made: RuleChecker) -> list[str]:
     made.look()
     return [v.rule for v in made.violations]
 
--- a/tests/virtual/test_network.py
+++ b/tests/virtual/test_network.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from lanemux.virtual.network import Weather
+from lanemux.virtual.network import LinkConditions
 from lanemux.virtual.world import World
 
 HOST = "127.0.0.1"
@@ -214,7 +214,7 @@
 )
 
 
-def virtually(scene: Scene, seed: int, weather: Weather) -> list[str]:
+def virtually(scene: Scene, seed: int, weather: LinkConditions) -> list[str]:
     world = World(str(seed), {"other": weather})
     world.ended = lambda process: None
     process = world.process("p")
@@ -232,7 +232,7 @@
     real = asyncio.run(asyncio.wait_for(scene(), 10))
     for seed in range(10):
         rng = random.Random(seed)
-        weather = Weather(
+        weather = LinkConditions(
             rng.choice((0, 50_000, 3_000_000)),
             rng.choice((0, 1_000_000)),
             rng.choice((0.0, 0.9)),
--- a/tests/virtual/test_seeds.py
+++ b/tests/virtual/test_seeds.py
@@ -11,7 +11,7 @@
 
 from bench.simulate import ANOTHER_DAY
 from lanemux.virtual.command import run_seed, run_seeds
-from lanemux.virtual.script import FAULTS, STORM_ONLY, draw, setting
+from lanemux.virtual.script import FAULTS, STORM_ONLY, draw, world_setup
 from tests.virtual.planted import ROOT
 
 FIXED = range(1, 241)
@@ -44,7 +44,7 @@
 
 def test_a_seed_is_one_history_in_any_process_and_on_any_day(tmp_path: Path) -> None:
     here = histories("1", tmp_path / "a", "-m", "lanemux", "simulate")
-    assert {setting(int(seed)).scenario.discovery.source for seed in here} == {"agent", "etcd"}
+    assert {world_setup(int(seed)).scenario.discovery.source for seed in here} == {"agent", "etcd"}
     assert histories("2", tmp_path / "b", "-c", ANOTHER_DAY) == here
     assert run_seed(3).digest == here["3"]  # also in a process that has played others
     assert len(set(here.values())) == len(here)
--- a/tests/virtual/test_storms.py
+++ b/tests/virtual/test_storms.py
@@ -12,9 +12,9 @@
 from lanemux.rehearsal import scenario
 from lanemux.rehearsal.books import Try
 from lanemux.virtual.command import run_seeds
-from lanemux.virtual.judge import HERD, herded
-from lanemux.virtual.script import Fault, Script, draw, setting
-from lanemux.virtual.stage import play
+from lanemux.virtual.rule_checker import HERD, herded
+from lanemux.virtual.script import Fault, Script, draw, world_setup
+from lanemux.virtual.simulation import play
 
 SEEDS = range(1, 41)
 
@@ -75,16 +75,16 @@
 def test_a_scenarios_own_outage_is_played_and_the_decisions_run_as_they_are_wrapped() -> None:
     asked: list[int] = []
 
-    def around(decides: Balancer, told: api.Settings, seed: int, now: int) -> Module:
+    def wrap_module(decides: Balancer, told: api.Settings, seed: int, now: int) -> Module:
         asked.append(seed)
         return decides
 
-    made = setting(4, storm=True)
+    made = world_setup(4, storm=True)
     fleet = made.scenario.fleet
     made.scenario = dataclasses.replace(
         made.scenario, faults=(scenario.Fault("crash", at_s=1.0, part=(0.5, 0.5), down_s=(0.5, 1.0)),)
     )
-    result = play(Script(4, storm=True), made=made, around=around)
+    result = play(Script(4, storm=True), setup=made, wrap_module=wrap_module)
     assert result.violations == [] and len(asked) == fleet.balancers
     assert {h.what for h in result.plan.happenings} == {"die", "start"}
     assert {a.how for a in result.boxes.attempts} >= {"answered", "died"} and result.figures.recovery_s != 0
--- a/tests/virtual/test_world.py
+++ b/tests/virtual/test_world.py
@@ -9,14 +9,14 @@
 import pytest
 
 from lanemux.virtual.disk import Disk
-from lanemux.virtual.network import Weather
+from lanemux.virtual.network import LinkConditions
 from lanemux.virtual.process import Process
 from lanemux.virtual.world import SPIN, Spinning, World
 
 SECOND = 10**9
 
 
-def world(seed: str = "1", **weather: Weather) -> World:
+def world(seed: str = "1", **weather: LinkConditions) -> World:
     made = World(seed, weather)
     made.ended = lambda process: None
     return made
