--- a/bench/outages.py
+++ b/bench/outages.py
@@ -35,9 +35,9 @@
 from lanemux.rehearsal.service import time_series
 from lanemux.storm.module import StormModule, StormOptions
 from lanemux.storm.restarts import RestartDetector
-from lanemux.virtual.network import Weather
-from lanemux.virtual.script import Script, Setting
-from lanemux.virtual.stage import play
+from lanemux.virtual.network import LinkConditions
+from lanemux.virtual.script import Script, WorldSetup
+from lanemux.virtual.simulation import play
 
 MS, SECOND = 1_000_000, 1_000_000_000
 OFF, ON = "off", "on"
@@ -109,10 +109,10 @@
 PARTNER, PARTNERS_WORLD = "miami-desk", "partner"  # that partner's retry storm: the scenario partner-storm
 
 
-def setting(name: str) -> Setting:
+def setting(name: str) -> WorldSetup:
     """The world as a setting of the simulation."""
-    links = dict.fromkeys(("client", "box", "list", "peer"), Weather(jitter_ns=100_000))
-    return Setting(find_scenario("partner-storm", "") if name == PARTNERS_WORLD else _outage(WORLDS[name]), links)
+    links = dict.fromkeys(("client", "box", "list", "peer"), LinkConditions(jitter_ns=100_000))
+    return WorldSetup(find_scenario("partner-storm", "") if name == PARTNERS_WORLD else _outage(WORLDS[name]), links)
 
 
 def _outage(world: World) -> Scenario:
@@ -157,7 +157,7 @@
     def wrap(policy: Balancer, settings: api.Settings, seed: int, now: int) -> StormModule | Balancer:
         return policy if module_class is None else module_class(policy, settings, StormOptions(), seed, now)
 
-    result = play(Script(seed), made=setting(name), around=wrap)
+    result = play(Script(seed), setup=setting(name), wrap_module=wrap)
     broken: dict[str, int] = {}
     for violation in result.violations:
         broken[violation.rule] = broken.get(violation.rule, 0) + 1
