--- a/lanemux/virtual/balancer.py
+++ b/lanemux/virtual/balancer.py
@@ -8,7 +8,7 @@
 from lanemux.rehearsal.balancers import Place
 from lanemux.rehearsal.books import Life
 from lanemux.rehearsal.registry import ListAgent
-from lanemux.virtual.observed import Observed
+from lanemux.virtual.observed import ModuleMonitor
 from lanemux.virtual.process import Process
 
 CONFIGURATION = "/etc/balancer.json"  # on the balancer's virtual disk
@@ -24,9 +24,9 @@
     settings: dict[str, object]
     process: Process | None = None
     node: Node | None = None
-    module: Observed | None = None
+    monitor: ModuleMonitor | None = None
     starts: int = 0
-    moves: int = 0
+    discovery_moves: int = 0
     member_up_ns: int = 0  # its etcd member has come up again by then
-    ending: bool = False
-    life: Life | None = None
+    stopping: bool = False
+    downtime: Life | None = None
--- a/lanemux/virtual/command.py
+++ b/lanemux/virtual/command.py
@@ -17,19 +17,19 @@
 
 from lanemux.validation import installed
 from lanemux.virtual.script import EVENTS, FAULTS, Script, as_test, draw, needs_etcd
-from lanemux.virtual.shrink import MOST_TRIES, shrink
+from lanemux.virtual.shrink import MAX_RUNS, shrink
 from lanemux.virtual.simulation import Result, play
 
-PASSED, FAILED, BAD_USE = 0, 1, 2
+PASSED, FAILED, USAGE_ERROR = 0, 1, 2
 DEFAULT_SEEDS = "1-200"
-MOST_SEEDS = 1_000_000
-SHRUNK = 3  # failing seeds of one call that are cut down; the others are only named
-EXTRA = "they need the extra `etcd`: pip install '.[etcd]'"
-SHOWN = 5  # violations of a seed that are told
+MAX_SEEDS = 1_000_000
+MAX_SHRUNK_SEEDS = 3  # failing seeds of one call that are cut down; the others are only named
+ETCD_EXTRA_HINT = "they need the extra `etcd`: pip install '.[etcd]'"
+MAX_SHOWN_VIOLATIONS = 5  # violations of a seed that are told
 
 
 @dataclass(slots=True)
-class Played:
+class SeedResult:
     """What is kept of one seed's run."""
 
     seed: int
@@ -48,19 +48,19 @@
         return _replay(options)
     seeds, left_out = playable(range(options.seeds[0], options.seeds[1] + 1))
     if left_out:
-        print(f"{len(left_out)} seeds that take their list from etcd are left out: {EXTRA}", file=sys.stderr)
+        print(f"{len(left_out)} seeds that take their list from etcd are left out: {ETCD_EXTRA_HINT}", file=sys.stderr)
     began = time.monotonic()
-    played = _played(seeds, options.jobs, options.first, options.storm)
+    results = _run_all(seeds, options.jobs, options.first, options.storm)
     wall_s = time.monotonic() - began
-    failed = [p for p in played if p.violations]
+    failed = [p for p in results if p.violations]
     for p in failed:
-        _tell(p)
-    _summary(played, wall_s, options.jobs)
+        _print_violations(p)
+    _print_summary(results, wall_s, options.jobs)
     if options.json:
-        report = as_json(played, wall_s, options.jobs) | {"left_out": left_out}
+        report = as_json(results, wall_s, options.jobs) | {"left_out": left_out}
         Path(options.json).write_text(json.dumps(report, indent=1) + "\n")
-    for p in failed[:SHRUNK] if options.shrink else ():
-        _cut_down(p.seed, options.storm)
+    for p in failed[:MAX_SHRUNK_SEEDS] if options.shrink else ():
+        _print_shrunk(p.seed, options.storm)
     return FAILED if failed else PASSED
 
 
@@ -72,17 +72,17 @@
     return [seed for seed in seeds if not needs_etcd(seed)], left_out
 
 
-def _played(seeds: Iterable[int], jobs: int, until_failed: bool, storm: bool) -> list[Played]:
+def _run_all(seeds: Iterable[int], jobs: int, stop_at_first_failure: bool, storm: bool) -> list[SeedResult]:
     found = []
     with contextlib.closing(run_seeds(seeds, jobs, storm)) as runs:
-        for played in runs:
-            found.append(played)
-            if until_failed and played.violations:
+        for result in runs:
+            found.append(result)
+            if stop_at_first_failure and result.violations:
                 break
     return found
 
 
-def run_seeds(seeds: Iterable[int], jobs: int, storm: bool = False) -> Generator[Played, None, None]:
+def run_seeds(seeds: Iterable[int], jobs: int, storm: bool = False) -> Generator[SeedResult, None, None]:
     """Each seed's run, in the order of the seeds."""
     run = run_storm if storm else run_seed
     if jobs == 1:
@@ -92,18 +92,18 @@
         yield from pool.imap(run, seeds, chunksize=4)
 
 
-def run_storm(seed: int) -> Played:
+def run_storm(seed: int) -> SeedResult:
     """One seed's storm as drawn."""
     return run_seed(seed, storm=True)
 
 
-def run_seed(seed: int, storm: bool = False) -> Played:
+def run_seed(seed: int, storm: bool = False) -> SeedResult:
     """One seed's run as drawn."""
     result = play(draw(seed, storm))
-    return Played(
+    return SeedResult(
         seed,
         result.digest,
-        [_line(v.rule, v.at_ns, v.request, v.box, v.proof) for v in result.violations],
+        [_format_violation(v.rule, v.at_ns, v.request, v.box, v.proof) for v in result.violations],
         result.steps,
         result.virtual_s,
         result.figures.service,
@@ -111,26 +111,26 @@
     )
 
 
-def digest_of(played: Iterable[Played]) -> str:
+def digest_of(results: Iterable[SeedResult]) -> str:
     """A hash over all histories."""
-    h = hashlib.blake2b(digest_size=16)
-    for p in played:
-        h.update(f"{p.seed} {p.digest}\n".encode())
-    return h.hexdigest()
+    history_hash = hashlib.blake2b(digest_size=16)
+    for p in results:
+        history_hash.update(f"{p.seed} {p.digest}\n".encode())
+    return history_hash.hexdigest()
 
 
-def as_json(played: Sequence[Played], wall_s: float, jobs: int) -> dict[str, object]:
-    covered: Counter[tuple[str, str]] = sum((p.covered for p in played), Counter())
+def as_json(results: Sequence[SeedResult], wall_s: float, jobs: int) -> dict[str, object]:
+    covered: Counter[tuple[str, str]] = sum((p.covered for p in results), Counter())
     return {
-        "seeds": [p.seed for p in played],
-        "failed": [p.seed for p in played if p.violations],
-        "digest": digest_of(played),
-        "digests": {p.seed: p.digest for p in played},
-        "violations": {p.seed: p.violations for p in played if p.violations},
+        "seeds": [p.seed for p in results],
+        "failed": [p.seed for p in results if p.violations],
+        "digest": digest_of(results),
+        "digests": {p.seed: p.digest for p in results},
+        "violations": {p.seed: p.violations for p in results if p.violations},
         "wall_s": round(wall_s, 3),
         "jobs": jobs,
-        "virtual_s": round(sum(p.virtual_s for p in played), 3),
-        "steps": sum(p.steps for p in played),
+        "virtual_s": round(sum(p.virtual_s for p in results), 3),
+        "steps": sum(p.steps for p in results),
         "covered": {
             what: {event: covered[what, event] for event in (*EVENTS, "time") if covered[what, event]}
             for what in FAULTS
@@ -138,28 +138,28 @@
     }
 
 
-def _line(rule: str, at_ns: int, request: str, box: str, proof: str) -> str:
-    about = " ".join(word for word in (request, box) if word)
-    return f"{at_ns / 1e9:.6f} s {rule} {about}: {proof}"
+def _format_violation(rule: str, at_ns: int, request: str, box: str, proof: str) -> str:
+    subject = " ".join(word for word in (request, box) if word)
+    return f"{at_ns / 1e9:.6f} s {rule} {subject}: {proof}"
 
 
-def _tell(played: Played) -> None:
-    print(f"seed {played.seed}: {len(played.violations)} violations")
-    for line in played.violations[:SHOWN]:
+def _print_violations(result: SeedResult) -> None:
+    print(f"seed {result.seed}: {len(result.violations)} violations")
+    for line in result.violations[:MAX_SHOWN_VIOLATIONS]:
         print(f"  {line}")
 
 
-def _summary(played: Sequence[Played], wall_s: float, jobs: int) -> None:
-    virtual = sum(p.virtual_s for p in played)
-    faults = sum(sum(p.covered.values()) for p in played)
-    print(f"{len(played)} seeds, {sum(bool(p.violations) for p in played)} failed, digest {digest_of(played)}")
+def _print_summary(results: Sequence[SeedResult], wall_s: float, jobs: int) -> None:
+    virtual = sum(p.virtual_s for p in results)
+    faults = sum(sum(p.covered.values()) for p in results)
+    print(f"{len(results)} seeds, {sum(bool(p.violations) for p in results)} failed, digest {digest_of(results)}")
     print(
-        f"{wall_s:.1f} s on {jobs} processes: {len(played) / wall_s / jobs:.2f} seeds a second each, "
-        f"{virtual / wall_s:.0f} virtual seconds a second; {sum(p.steps for p in played)} steps, {faults} faults"
+        f"{wall_s:.1f} s on {jobs} processes: {len(results) / wall_s / jobs:.2f} seeds a second each, "
+        f"{virtual / wall_s:.0f} virtual seconds a second; {sum(p.steps for p in results)} steps, {faults} faults"
     )
 
 
-def _cut_down(seed: int, storm: bool = False, most: int = MOST_TRIES) -> None:
+def _print_shrunk(seed: int, storm: bool = False, max_runs: int = MAX_RUNS) -> None:
     """Print the least script that still fails as the seed does."""
     result = play(draw(seed, storm))
     rules = {v.rule for v in result.violations}
@@ -167,57 +167,59 @@
     def fails(script: Script) -> bool:
         return any(v.rule in rules for v in play(script).violations)
 
-    least, tries = shrink(result.script, result.asks, fails, most)
+    smallest, runs = shrink(result.script, result.asks, fails, max_runs)
     print(
         f"\n# seed {seed}: {len(result.script.faults)} faults and {result.asks} asks cut down to "
-        f"{len(least.faults)} and {result.asks if least.asks is None else len(least.asks)} in {tries} runs"
+        f"{len(smallest.faults)} and {result.asks if smallest.asks is None else len(smallest.asks)} in {runs} runs"
     )
-    print(as_test(least))
+    print(as_test(smallest))
 
 
 def _replay(options: argparse.Namespace) -> int:
     if needs_etcd(options.replay) and not installed("grpclib"):
-        print(f"lanemux: seed {options.replay} takes its list from etcd: {EXTRA}", file=sys.stderr)
-        return BAD_USE
-    result = play(draw(options.replay, options.storm), traced=bool(options.trace))
-    _summarize(result)
+        print(f"lanemux: seed {options.replay} takes its list from etcd: {ETCD_EXTRA_HINT}", file=sys.stderr)
+        return USAGE_ERROR
+    result = play(draw(options.replay, options.storm), trace_enabled=bool(options.trace))
+    _print_replay(result)
     if options.trace:
         Path(options.trace).write_text("\n".join(timeline(result)) + "\n")
     if result.violations and options.shrink:
-        _cut_down(options.replay, options.storm)
+        _print_shrunk(options.replay, options.storm)
     return FAILED if result.violations else PASSED
 
 
 def timeline(result: Result) -> list[str]:
     """What each party saw, in order of time."""
-    said = [(float(line.split()[0]), line) for line in result.timeline]
+    lines = [(float(line.split()[0]), line) for line in result.timeline]
     for entry in result.books.tries:
         for at, what in (
             (entry.sent_ns, f"asks balancer {entry.balancer}: {entry.target}"),
             (entry.end_ns, f"{entry.how} {entry.status or ''} by balancer {entry.balancer}"),
         ):
-            said.append((at / 1e9, f"{at / 1e9:12.6f}  caller {entry.id[:8]:<15} {what}"))
+            lines.append((at / 1e9, f"{at / 1e9:12.6f}  caller {entry.id[:8]:<15} {what}"))
     for attempt in result.boxes.attempts:
         for at, what in (
             (attempt.whole_ns, f"asked by balancer {attempt.balancer} for {attempt.id[:8]}"),
             (attempt.end_ns, f"{attempt.how} {attempt.id[:8]}, open until {attempt.open_ns / 1e9:.6f}"),
         ):
-            said.append((at / 1e9, f"{at / 1e9:12.6f}  {'box ' + str(attempt.box):<22} {what}"))
-    for told in result.books.told:
-        if told.written_ns > 0:
-            at_s = told.written_ns / 1e9
-            said.append(
+            lines.append((at / 1e9, f"{at / 1e9:12.6f}  {'box ' + str(attempt.box):<22} {what}"))
+    for notice in result.books.told:
+        if notice.written_ns > 0:
+            at_s = notice.written_ns / 1e9
+            lines.append(
                 (
                     at_s,
-                    f"{at_s:12.6f}  {'discovery':<22} tells balancer {told.balancer}: box {told.box} is {told.health}",
+                    f"{at_s:12.6f}  {'discovery':<22} tells balancer {notice.balancer}: box {notice.box} is {notice.health}",
                 )
             )
     for v in result.violations:
-        said.append((v.at_ns / 1e9, f"{v.at_ns / 1e9:12.6f}  {'VIOLATION':<22} {v.rule} {v.request} {v.box} {v.proof}"))
-    return [line for _, line in sorted(said, key=lambda pair: pair[0])]
+        lines.append(
+            (v.at_ns / 1e9, f"{v.at_ns / 1e9:12.6f}  {'VIOLATION':<22} {v.rule} {v.request} {v.box} {v.proof}")
+        )
+    return [line for _, line in sorted(lines, key=lambda pair: pair[0])]
 
 
-def _summarize(result: Result) -> None:
+def _print_replay(result: Result) -> None:
     print(
         f"seed {result.script.seed}: digest {result.digest}, {result.steps} steps, "
         f"{result.virtual_s:.3f} virtual seconds, service {result.figures.service:.3f}"
@@ -225,16 +227,16 @@
     for fault in result.script.faults:
         print(f"  {fault}")
     for v in result.violations:
-        print(f"  {_line(v.rule, v.at_ns, v.request, v.box, v.proof)}")
+        print(f"  {_format_violation(v.rule, v.at_ns, v.request, v.box, v.proof)}")
 
 
-def _range(text: str) -> tuple[int, int]:
+def _seed_range(text: str) -> tuple[int, int]:
     first, dash, last = text.partition("-")
     if not first.isdigit() or (dash and not last.isdigit()):
         raise argparse.ArgumentTypeError(f"{text!r} is not A-B")
     low, high = int(first), int(last if dash else first)
-    if low > high or high - low >= MOST_SEEDS:
-        raise argparse.ArgumentTypeError(f"{text!r}: A is to be no more than B, and {MOST_SEEDS} seeds at most")
+    if low > high or high - low >= MAX_SEEDS:
+        raise argparse.ArgumentTypeError(f"{text!r}: A is to be no more than B, and {MAX_SEEDS} seeds at most")
     return low, high
 
 
@@ -250,8 +252,8 @@
     parser.add_argument(
         "--seeds",
         metavar="A-B",
-        type=_range,
-        default=_range(DEFAULT_SEEDS),
+        type=_seed_range,
+        default=_seed_range(DEFAULT_SEEDS),
         help=f"which seeds (default {DEFAULT_SEEDS})",
     )
     parser.add_argument("--json", metavar="FILE", help="write the figures there")
--- /dev/null
+++ b/lanemux/virtual/connection_times.py
@@ -0,0 +1,44 @@
+"""What boxes see of their connections in a virtual run: the network knows it exactly."""
+
+from __future__ import annotations
+
+import asyncio
+
+from lanemux.virtual.event_queue import RUN_START_NS
+from lanemux.virtual.network import Endpoint
+from lanemux.virtual.process import Process
+from lanemux.virtual.sockets import StreamSocket
+
+
+class ExactConnectionTimes:
+    """When a balancer's end did what a box sees: the network knows."""
+
+    def __init__(self, boxes: Process) -> None:
+        self.boxes = boxes
+
+    def _endpoint(self, transport: asyncio.BaseTransport) -> Endpoint | None:
+        sock = self.boxes.loop.socket_of(transport)
+        return sock.endpoint if isinstance(sock, StreamSocket) else None
+
+    def began_ns(self, transport: asyncio.BaseTransport) -> int:
+        endpoint = self._endpoint(transport)
+        return (
+            endpoint.first_read_sent_ns if endpoint is not None else self.boxes.world.event_queue.now_ns
+        ) - RUN_START_NS
+
+    def whole_ns(self, transport: asyncio.BaseTransport) -> int:
+        endpoint = self._endpoint(transport)
+        return (
+            endpoint.last_read_sent_ns if endpoint is not None else self.boxes.world.event_queue.now_ns
+        ) - RUN_START_NS
+
+    def open_ns(self, transport: asyncio.BaseTransport) -> int:
+        now, endpoint = self.boxes.world.event_queue.now_ns, self._endpoint(transport)
+        closed = endpoint.peer.write_ended_ns if endpoint is not None and endpoint.peer is not None else now
+        return min(now, closed) - RUN_START_NS
+
+
+class NoPollTimes:
+    """A virtual loop's looks tell nothing that its network does not tell exactly."""
+
+    looks_ns = [0, 0, 0]
--- a/lanemux/virtual/faults/balancer.py
+++ b/lanemux/virtual/faults/balancer.py
@@ -16,19 +16,19 @@
     from lanemux.virtual.simulation import Simulation
 
 
-READY_NS = 250 * MS  # from a balancer's start until the front knows it again
-ACCEPT_AGAIN_NS = 60 * MS  # after descriptors were out, accepting begins again by then
+FRONT_NOTICE_NS = 250 * MS  # from a balancer's start until the front knows it again
+ACCEPT_RESUMED_NS = 60 * MS  # after descriptors were out, accepting begins again by then
 RECONNECTED_NS = 1500 * MS  # what was written to a connection given up is heard on the next one, by then
-LOST_NS = 4500 * MS  # a watch that is silent for good is found out, and another one up, by then
-TORN_FOR_NS = 100 * MS
-DECIDED_SHARE = 0.6  # of lurches that come between a decision to send and the sending
+SILENT_WATCH_NS = 4500 * MS  # a watch that is silent for good is found out, and another one up, by then
+CONFIG_FAULT_NS = 100 * MS
+PAUSE_BEFORE_SEND_SHARE = 0.6  # of lurches that come between a decision to send and the sending
 
 
 class BalancerFaults:
     """What befalls balancers."""
 
-    def __init__(self, stage: Simulation) -> None:
-        self._stage = stage
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
         self.by_name: dict[str, BalancerFault] = {
             "still": self._still,
             "lurch": self._lurch,
@@ -46,166 +46,179 @@
             "wall": self._wall,
         }
 
-    def _still(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _still(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         if balancer.process is not None and balancer.process.alive:
-            until = self._stage.world.agenda.now_ns + lasts_ns
-            balancer.process.stay_still(until)
-            self._stage.excuses.away[balancer.number].append((self._stage.now(), self._stage.now() + lasts_ns))
+            until = self._simulation.world.event_queue.now_ns + duration_ns
+            balancer.process.pause_until(until)
+            self._simulation.exemptions.stopped[balancer.number].append(
+                (self._simulation.now(), self._simulation.now() + duration_ns)
+            )
 
-    def _lurch(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _lurch(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         process = balancer.process
         if process is None or not process.alive:
             return
 
-        def lurched(for_ns: int) -> None:
-            for one in self._stage.balancers:
-                self._stage.excuses.away[one.number].append((self._stage.now(), self._stage.now() + for_ns))
+        def on_pause(paused_ns: int) -> None:
+            for one in self._simulation.balancers:
+                self._simulation.exemptions.stopped[one.number].append(
+                    (self._simulation.now(), self._simulation.now() + paused_ns)
+                )
 
-        process.lurch_ns, process.lurched = lasts_ns, lurched
-        process.lurch_decided = self._stage.rng.random() < DECIDED_SHARE
+        process.pending_pause_ns, process.on_pause = duration_ns, on_pause
+        process.pause_before_send = self._simulation.rng.random() < PAUSE_BEFORE_SEND_SHARE
 
-    def _lost(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _lost(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         streams = [
-            e for e in self._stage.world.network.streams if e.label.kind == "list" and e.label.to == balancer.number
+            e
+            for e in self._simulation.world.network.streams
+            if e.label.kind == "list" and e.label.target == balancer.number
         ]
         for end in streams:
-            end.mute()
-        self._stage.excuses.unheard[balancer.number].append((self._stage.now(), self._stage.now() + LOST_NS))
+            end.silence()
+        self._simulation.exemptions.discovery_silent[balancer.number].append(
+            (self._simulation.now(), self._simulation.now() + SILENT_WATCH_NS)
+        )
 
-    def _stop(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _stop(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         process = balancer.process
-        if process is None or balancer.ending or not process.alive:
+        if process is None or balancer.stopping or not process.alive:
             return
-        balancer.ending = True
-        self._known(balancer, False)
+        balancer.stopping = True
+        self._set_known_to_front(balancer, False)
         process.signal(signal.SIGTERM)
 
-        def gone() -> None:
+        def check_exited() -> None:
             if process.alive:
-                self._stage.later(MS, gone)
+                self._simulation.call_later(MS, check_exited)
             else:
-                self._down(balancer)
-                self._stage.later(lasts_ns, lambda: self._again(balancer))
+                self._record_down(balancer)
+                self._simulation.call_later(duration_ns, lambda: self._restart(balancer))
 
-        gone()
+        check_exited()
 
-    def _kill(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _kill(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         process = balancer.process
-        if process is None or balancer.ending or not process.alive:
+        if process is None or balancer.stopping or not process.alive:
             return
-        balancer.ending = True
+        balancer.stopping = True
         process.kill()
-        self._down(balancer)
-        self._stage.later(
-            self._stage.plan.fronts_notice_ns // 4, lambda: self._known(balancer, False) if balancer.ending else None
+        self._record_down(balancer)
+        self._simulation.call_later(
+            self._simulation.plan.fronts_notice_ns // 4,
+            lambda: self._set_known_to_front(balancer, False) if balancer.stopping else None,
         )
-        self._stage.later(lasts_ns, lambda: self._again(balancer))
+        self._simulation.call_later(duration_ns, lambda: self._restart(balancer))
 
-    def _down(self, balancer: RestartableBalancer) -> None:
-        balancer.life = Life(balancer.number, "down", self._stage.now())
-        self._stage.books.balancers_down.append(balancer.life)
+    def _record_down(self, balancer: RestartableBalancer) -> None:
+        balancer.downtime = Life(balancer.number, "down", self._simulation.now())
+        self._simulation.books.balancers_down.append(balancer.downtime)
 
-    def _again(self, balancer: RestartableBalancer) -> None:
-        if balancer.life is not None:
-            balancer.life.to_ns = self._stage.now()
-        self._stage.start(balancer)
-        self._stage.later(READY_NS, lambda: self._known(balancer, True))
+    def _restart(self, balancer: RestartableBalancer) -> None:
+        if balancer.downtime is not None:
+            balancer.downtime.to_ns = self._simulation.now()
+        self._simulation.start(balancer)
+        self._simulation.call_later(FRONT_NOTICE_NS, lambda: self._set_known_to_front(balancer, True))
 
-    def _known(self, balancer: RestartableBalancer, there: bool) -> None:
-        assert self._stage.front is not None
-        (self._stage.front.known.add if there else self._stage.front.known.discard)(balancer.number)
+    def _set_known_to_front(self, balancer: RestartableBalancer, known: bool) -> None:
+        assert self._simulation.front is not None
+        (self._simulation.front.known.add if known else self._simulation.front.known.discard)(balancer.number)
 
-    def _hup(self, balancer: RestartableBalancer) -> None:
+    def _send_sighup(self, balancer: RestartableBalancer) -> None:
         if balancer.process is not None and balancer.process.alive:
             balancer.process.signal(signal.SIGHUP)
 
-    def _reload(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        self._hup(balancer)
+    def _reload(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        self._send_sighup(balancer)
 
-    def _move(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _move(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         """Discovery has another address; for a while the old one tells all the same."""
         old = balancer.agent
         if isinstance(old, Agent):
-            self._stage.kit.loop.create_task(self._moved(balancer, old, lasts_ns))
+            self._simulation.kit.loop.create_task(self._move_discovery(balancer, old, duration_ns))
 
-    async def _moved(self, balancer: RestartableBalancer, old: Agent, lasts_ns: int) -> None:
-        balancer.moves += 1
+    async def _move_discovery(self, balancer: RestartableBalancer, old: Agent, duration_ns: int) -> None:
+        balancer.discovery_moves += 1
         new = balancer.agent = old.successor()  # from now on it is told all that the old one is told
-        balancer.place.discovery = await new.open(f"127.0.{203 + balancer.moves % 50}.{balancer.number + 1}")
-        self._stage.world.network.places[balancer.place.discovery] = ("list", balancer.number)
+        balancer.place.discovery = await new.open(f"127.0.{203 + balancer.discovery_moves % 50}.{balancer.number + 1}")
+        self._simulation.world.network.targets[balancer.place.discovery] = ("list", balancer.number)
         if balancer.process is not None:
-            self._stage.write_configuration(balancer)
-            self._hup(balancer)
-        await asyncio.sleep(lasts_ns / SECOND)
+            self._simulation.write_configuration(balancer)
+            self._send_sighup(balancer)
+        await asyncio.sleep(duration_ns / SECOND)
         new.alone()
         await old.close()
 
-    def _torn(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _torn(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         if balancer.process is None or not balancer.process.alive:
             return
         disk = balancer.process.disk
-        disk.torn = len(disk.files[CONFIGURATION]) // 2
+        disk.tear_after_bytes = len(disk.files[CONFIGURATION]) // 2
         try:
-            self._stage.write_configuration(balancer)
+            self._simulation.write_configuration(balancer)
         except OSError:
-            self._hup(balancer)
+            self._send_sighup(balancer)
 
-        def mended() -> None:
-            self._stage.write_configuration(balancer)
-            self._hup(balancer)
+        def repair() -> None:
+            self._simulation.write_configuration(balancer)
+            self._send_sighup(balancer)
 
-        self._stage.later(TORN_FOR_NS, mended)
+        self._simulation.call_later(CONFIG_FAULT_NS, repair)
 
-    def _unread(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _unread(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         if balancer.process is None or not balancer.process.alive:
             return
         disk = balancer.process.disk
         disk.unreadable = True
-        self._hup(balancer)
+        self._send_sighup(balancer)
 
-        def mended() -> None:
+        def repair() -> None:
             disk.unreadable = False
-            self._hup(balancer)
+            self._send_sighup(balancer)
 
-        self._stage.later(TORN_FOR_NS, mended)
+        self._simulation.call_later(CONFIG_FAULT_NS, repair)
 
-    def _deaf(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        self._stage.world.network.hold("peer", balancer.number, self._stage.world.agenda.now_ns + lasts_ns)
+    def _deaf(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        self._simulation.world.network.hold_traffic(
+            "peer", balancer.number, self._simulation.world.event_queue.now_ns + duration_ns
+        )
 
-    def _unheard(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        self._stage.world.network.hold("list", balancer.number, self._stage.world.agenda.now_ns + lasts_ns)
-        self._stage.excuses.unheard[balancer.number].append(
-            (self._stage.now(), self._stage.now() + lasts_ns + RECONNECTED_NS)
+    def _unheard(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        self._simulation.world.network.hold_traffic(
+            "list", balancer.number, self._simulation.world.event_queue.now_ns + duration_ns
+        )
+        self._simulation.exemptions.discovery_silent[balancer.number].append(
+            (self._simulation.now(), self._simulation.now() + duration_ns + RECONNECTED_NS)
         )
 
-    def _full(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _full(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         process = balancer.process
         if process is None or not process.alive:
             return
         process.descriptors = len(process.sockets)
-        self._stage.excuses.full[balancer.number].append(
-            (self._stage.now(), self._stage.now() + lasts_ns + ACCEPT_AGAIN_NS)
+        self._simulation.exemptions.cannot_accept[balancer.number].append(
+            (self._simulation.now(), self._simulation.now() + duration_ns + ACCEPT_RESUMED_NS)
         )
 
-        def room() -> None:
-            process.descriptors = self._stage.sockets
+        def release() -> None:
+            process.descriptors = self._simulation.descriptor_limit
 
-        self._stage.later(lasts_ns, room)
+        self._simulation.call_later(duration_ns, release)
 
-    def _starved(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _starved(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         process = balancer.process
         if process is None or not process.alive:
             return
-        process.memory = False
-        self._stage.excuses.full[balancer.number].append(
-            (self._stage.now(), self._stage.now() + lasts_ns + ACCEPT_AGAIN_NS)
+        process.has_memory = False
+        self._simulation.exemptions.cannot_accept[balancer.number].append(
+            (self._simulation.now(), self._simulation.now() + duration_ns + ACCEPT_RESUMED_NS)
         )
 
-        def room() -> None:
-            process.memory = True
+        def release() -> None:
+            process.has_memory = True
 
-        self._stage.later(lasts_ns, room)
+        self._simulation.call_later(duration_ns, release)
 
-    def _wall(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _wall(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         if balancer.process is not None:
-            balancer.process.wall_offset_ns += lasts_ns
+            balancer.process.wall_offset_ns += duration_ns
--- a/lanemux/virtual/faults/box.py
+++ b/lanemux/virtual/faults/box.py
@@ -8,7 +8,7 @@
 from lanemux.rehearsal.box_host import Host
 from lanemux.rehearsal.plan import MS, SECOND
 from lanemux.virtual.faults import BoxFault
-from lanemux.virtual.network import End
+from lanemux.virtual.network import Endpoint
 
 if TYPE_CHECKING:
     from lanemux.virtual.simulation import Simulation
@@ -21,8 +21,8 @@
 class BoxFaults:
     """What befalls boxes."""
 
-    def __init__(self, stage: Simulation) -> None:
-        self._stage = stage
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
         self.by_name: dict[str, BoxFault] = {
             "drain": self._drain,
             "die": self._die,
@@ -37,120 +37,134 @@
             "shut": self._shut,
         }
 
-    def _take(self, box: int) -> bool:
+    def _begin_transition(self, box: int) -> bool:
         """A box goes through one change of its life at a time."""
-        if box in self._stage.busy_boxes:
+        if box in self._simulation.boxes_in_transition:
             return False
-        self._stage.busy_boxes.add(box)
+        self._simulation.boxes_in_transition.add(box)
         return True
 
-    def _wait_ns(self, span: tuple[float, float]) -> int:
-        return int(self._stage.rng.uniform(*span) * SECOND)
+    def _draw_wait_ns(self, span: tuple[float, float]) -> int:
+        return int(self._simulation.rng.uniform(*span) * SECOND)
 
-    def _drain(self, box: int, lasts_ns: int, about: object) -> None:
-        if self._take(box):
-            self._stage.tell(box, "draining")
-            self._stage.happen("drain", box)
-            self._stage.later(lasts_ns, lambda: self._leave_and_return(box))
+    def _drain(self, box: int, duration_ns: int, trigger: object) -> None:
+        if self._begin_transition(box):
+            self._simulation.tell(box, "draining")
+            self._simulation.change_box("drain", box)
+            self._simulation.call_later(duration_ns, lambda: self._leave_and_return(box))
 
     def _leave_and_return(self, box: int) -> None:
-        self._stage.happen("leave", box)
-        self._stage.tell(box, "removed")
-        self._stage.later(RESTART_NS, lambda: self._come_back(box))
+        self._simulation.change_box("leave", box)
+        self._simulation.tell(box, "removed")
+        self._simulation.call_later(RESTART_NS, lambda: self._restart(box))
 
-    def _come_back(self, box: int) -> None:
+    def _restart(self, box: int) -> None:
         """Cold, and told a little later."""
-        born = self._stage.now()
-        self._stage.happen("start", box)
+        born = self._simulation.now()
+        self._simulation.change_box("start", box)
 
-        def told() -> None:
-            self._stage.tell(box, "up", born)
-            self._stage.busy_boxes.discard(box)
+        def announce() -> None:
+            self._simulation.tell(box, "up", born)
+            self._simulation.boxes_in_transition.discard(box)
 
-        self._stage.later(self._wait_ns(self._stage.plan.scenario.discovery.add_s), told)
+        self._simulation.call_later(self._draw_wait_ns(self._simulation.plan.scenario.discovery.add_s), announce)
 
-    def _die(self, box: int, lasts_ns: int, about: object) -> None:
-        if self._take(box):
-            self._stage.happen("die", box)
-            told = self._wait_ns(self._stage.plan.scenario.discovery.notice_s)
-            if told < lasts_ns:
-                self._stage.later(told, lambda: self._stage.tell(box, "removed"))
-            self._stage.later(lasts_ns, lambda: self._come_back(box))
+    def _die(self, box: int, duration_ns: int, trigger: object) -> None:
+        if self._begin_transition(box):
+            self._simulation.change_box("die", box)
+            notice_delay_ns = self._draw_wait_ns(self._simulation.plan.scenario.discovery.notice_s)
+            if notice_delay_ns < duration_ns:
+                self._simulation.call_later(notice_delay_ns, lambda: self._simulation.tell(box, "removed"))
+            self._simulation.call_later(duration_ns, lambda: self._restart(box))
 
-    def _outage(self, box: int, lasts_ns: int, about: object) -> None:
-        boxes = self._stage.plan.scenario.fleet.boxes
+    def _outage(self, box: int, duration_ns: int, trigger: object) -> None:
+        boxes = self._simulation.plan.scenario.fleet.boxes
         for number in range(-(-boxes // 3)):
-            self._die((box + number) % boxes, int(lasts_ns * self._stage.rng.uniform(0.3, 1.0)), None)
+            self._die((box + number) % boxes, int(duration_ns * self._simulation.rng.uniform(0.3, 1.0)), None)
 
-    def _freeze(self, box: int, lasts_ns: int, about: object) -> None:
-        self._stage.happen("freeze", box, self._stage.now() + lasts_ns)
+    def _freeze(self, box: int, duration_ns: int, trigger: object) -> None:
+        self._simulation.change_box("freeze", box, self._simulation.now() + duration_ns)
 
-    def _vanish(self, box: int, lasts_ns: int, about: object) -> None:
-        if self._take(box):
-            self._stage.happen("vanish", box)
+    def _vanish(self, box: int, duration_ns: int, trigger: object) -> None:
+        if self._begin_transition(box):
+            self._simulation.change_box("vanish", box)
 
             def back() -> None:
-                self._stage.happen("return", box)
-                self._stage.busy_boxes.discard(box)
+                self._simulation.change_box("return", box)
+                self._simulation.boxes_in_transition.discard(box)
 
-            self._stage.later(lasts_ns, back)
+            self._simulation.call_later(duration_ns, back)
 
-    def _swap(self, box: int, lasts_ns: int, about: object) -> None:
+    def _swap(self, box: int, duration_ns: int, trigger: object) -> None:
         """The box is gone for good; another one comes up at its address."""
-        if not self._take(box) or self._stage.boxes is None:
+        if not self._begin_transition(box) or self._simulation.boxes is None:
             return
-        self._stage.happen("die", box)
-        self._stage.later(
-            self._wait_ns(self._stage.plan.scenario.discovery.notice_s), lambda: self._stage.tell(box, "removed")
+        self._simulation.change_box("die", box)
+        self._simulation.call_later(
+            self._draw_wait_ns(self._simulation.plan.scenario.discovery.notice_s),
+            lambda: self._simulation.tell(box, "removed"),
         )
-        old, number = self._stage.plan.boxes[box], len(self._stage.plan.boxes)
-        self._stage.plan.boxes.append(dataclasses.replace(old, host=f"{old.host}-{number}", seed=old.seed + number))
-        self._stage.boxes.hosts.append(Host(self._stage.boxes.world, number, self._stage.addresses[old.slot]))
-        self._stage.later(lasts_ns, lambda: self._come_back(number))
+        old, number = self._simulation.plan.boxes[box], len(self._simulation.plan.boxes)
+        self._simulation.plan.boxes.append(
+            dataclasses.replace(old, host=f"{old.host}-{number}", seed=old.seed + number)
+        )
+        self._simulation.boxes.hosts.append(
+            Host(self._simulation.boxes.world, number, self._simulation.addresses[old.slot])
+        )
+        self._simulation.call_later(duration_ns, lambda: self._restart(number))
 
-    def _trade(self, box: int, lasts_ns: int, about: object) -> None:
+    def _trade(self, box: int, duration_ns: int, trigger: object) -> None:
         """Two boxes go; each comes back at the other's old address, told as gone in between or not."""
-        other = (box + 1) % self._stage.plan.scenario.fleet.boxes
-        if other == box or self._stage.boxes is None or other in self._stage.busy_boxes or not self._take(box):
+        other = (box + 1) % self._simulation.plan.scenario.fleet.boxes
+        if (
+            other == box
+            or self._simulation.boxes is None
+            or other in self._simulation.boxes_in_transition
+            or not self._begin_transition(box)
+        ):
             return
-        self._take(other)
-        boxes, told = self._stage.boxes, self._stage.rng.random() < REMOVAL_TOLD_SHARE
+        self._begin_transition(other)
+        boxes, removal_told = self._simulation.boxes, self._simulation.rng.random() < REMOVAL_TOLD_SHARE
         for one in (box, other):
-            self._stage.happen("die", one)
-            if told:
-                self._stage.tell(one, "removed")
+            self._simulation.change_box("die", one)
+            if removal_told:
+                self._simulation.tell(one, "removed")
 
         def back() -> None:
-            slots = self._stage.plan.boxes[other].slot, self._stage.plan.boxes[box].slot
+            slots = self._simulation.plan.boxes[other].slot, self._simulation.plan.boxes[box].slot
             for one, slot in zip((box, other), slots, strict=True):
-                self._stage.traded[self._stage.ids.id_of(self._stage.plan.boxes[one].host)] = one
-                self._stage.plan.boxes[one] = dataclasses.replace(self._stage.plan.boxes[one], slot=slot)
+                self._simulation.relocated_boxes[
+                    self._simulation.host_ids.id_of(self._simulation.plan.boxes[one].host)
+                ] = one
+                self._simulation.plan.boxes[one] = dataclasses.replace(self._simulation.plan.boxes[one], slot=slot)
                 boxes.hosts[one].box, boxes.hosts[one].addresses = (
-                    self._stage.plan.boxes[one],
-                    self._stage.addresses[slot],
+                    self._simulation.plan.boxes[one],
+                    self._simulation.addresses[slot],
                 )
-                self._come_back(one)
+                self._restart(one)
 
-        self._stage.later(lasts_ns, back)
+        self._simulation.call_later(duration_ns, back)
 
-    def _stream(self, box: int, about: object) -> End | None:
+    def _pick_stream(self, box: int, trigger: object) -> Endpoint | None:
         """The connection to a box that an event is about, or any to this one."""
-        end = about[0] if isinstance(about, tuple) else about
-        if isinstance(end, End) and end.label.kind == "box":
+        end = trigger[0] if isinstance(trigger, tuple) else trigger
+        if isinstance(end, Endpoint) and end.label.kind == "box":
             return end
-        streams = [e for e in self._stage.world.network.streams if e.label.kind == "box" and e.label.to == box]
-        return self._stage.rng.choice(streams) if streams else None
+        streams = [e for e in self._simulation.world.network.streams if e.label.kind == "box" and e.label.target == box]
+        return self._simulation.rng.choice(streams) if streams else None
 
-    def _reset(self, box: int, lasts_ns: int, about: object) -> None:
-        if (end := self._stream(box, about)) is not None:
-            end.cut_off()
+    def _reset(self, box: int, duration_ns: int, trigger: object) -> None:
+        if (end := self._pick_stream(box, trigger)) is not None:
+            end.reset_both()
 
-    def _mute(self, box: int, lasts_ns: int, about: object) -> None:
-        if (end := self._stream(box, about)) is not None:
-            end.mute()
+    def _mute(self, box: int, duration_ns: int, trigger: object) -> None:
+        if (end := self._pick_stream(box, trigger)) is not None:
+            end.silence()
 
-    def _hold(self, box: int, lasts_ns: int, about: object) -> None:
-        self._stage.world.network.hold("box", box, self._stage.world.agenda.now_ns + lasts_ns)
+    def _hold(self, box: int, duration_ns: int, trigger: object) -> None:
+        self._simulation.world.network.hold_traffic("box", box, self._simulation.world.event_queue.now_ns + duration_ns)
 
-    def _shut(self, box: int, lasts_ns: int, about: object) -> None:
-        self._stage.world.network.shut("box", box, self._stage.world.agenda.now_ns + lasts_ns)
+    def _shut(self, box: int, duration_ns: int, trigger: object) -> None:
+        self._simulation.world.network.drop_connects(
+            "box", box, self._simulation.world.event_queue.now_ns + duration_ns
+        )
--- a/lanemux/virtual/faults/client.py
+++ b/lanemux/virtual/faults/client.py
@@ -9,64 +9,64 @@
 from lanemux.rehearsal.plan import MS, SECOND
 from lanemux.virtual.balancer import RestartableBalancer
 from lanemux.virtual.faults import BalancerFault
-from lanemux.virtual.network import Address, End
+from lanemux.virtual.network import Address, Endpoint
 
 if TYPE_CHECKING:
     from lanemux.virtual.simulation import Simulation
 
 
-HALF_NS = 100 * MS
-DOUBLE_NS = 2 * SECOND
+HALF_CLOSE_WAIT_NS = 100 * MS
+DUPLICATE_OPEN_NS = 2 * SECOND
 
 
 class ClientFaults:
     """What befalls clients, each of a balancer."""
 
-    def __init__(self, stage: Simulation) -> None:
-        self._stage = stage
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
         self.by_name: dict[str, BalancerFault] = {
             "leave": self._leave,
             "half": self._half,
             "double": self._double,
         }
 
-    def _line(self, about: object) -> Line | None:
+    def _pick_connection(self, trigger: object) -> Line | None:
         """The caller's connection that an event is about, or any on which an answer is due."""
-        assert self._stage.callers is not None
-        lines = [line for line in self._stage.callers.lines if line.current is not None]
-        end = about[0] if isinstance(about, tuple) else about
-        if isinstance(end, End) and end.label.kind == "client":
-            mine = end if end.opener else end.peer
+        assert self._simulation.callers is not None
+        lines = [line for line in self._simulation.callers.lines if line.current is not None]
+        end = trigger[0] if isinstance(trigger, tuple) else trigger
+        if isinstance(end, Endpoint) and end.label.kind == "client":
+            caller_end = end if end.opener else end.peer
             lines = [
                 line
                 for line in lines
                 if line.transport is not None
-                and getattr(self._stage.kit.loop.socket_of(line.transport), "end", None) is mine
+                and getattr(self._simulation.kit.loop.socket_of(line.transport), "endpoint", None) is caller_end
             ]
-        return self._stage.rng.choice(lines) if lines else None
+        return self._simulation.rng.choice(lines) if lines else None
 
-    def _leave(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        line = self._line(about)
+    def _leave(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        line = self._pick_connection(trigger)
         if line is not None and line.current is not None:
-            self._stage.run_in(self._stage.kit, line.current.leave)
+            self._simulation.call_in(self._simulation.kit, line.current.leave)
 
-    def _half(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        line = self._line(about)
+    def _half(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        line = self._pick_connection(trigger)
         if line is not None and line.current is not None:
-            self._stage.run_in(self._stage.kit, line.current.leave, HALF_NS)
+            self._simulation.call_in(self._simulation.kit, line.current.leave, HALF_CLOSE_WAIT_NS)
 
-    def _double(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _double(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         """Only what may be repeated: whether the second one is taken for a new request is up to the moment."""
-        line = self._line(about)
+        line = self._pick_connection(trigger)
         if line is not None and line.current is not None and line.current.ask.effect == "safe":
-            address = self._stage.balancers[line.balancer].place.listen
-            self._stage.kit.loop.create_task(self._sent_twice(address, line.sent))
+            address = self._simulation.balancers[line.balancer].place.listen
+            self._simulation.kit.loop.create_task(self._send_duplicate(address, line.sent))
 
-    async def _sent_twice(self, address: Address, data: bytes) -> None:
+    async def _send_duplicate(self, address: Address, data: bytes) -> None:
         try:
             transport, _ = await asyncio.get_running_loop().create_connection(asyncio.Protocol, *address)
         except OSError:
             return
         transport.write(data)
-        await asyncio.sleep(DOUBLE_NS / SECOND)
+        await asyncio.sleep(DUPLICATE_OPEN_NS / SECOND)
         transport.close()
--- a/lanemux/virtual/faults/discovery.py
+++ b/lanemux/virtual/faults/discovery.py
@@ -12,14 +12,14 @@
     from lanemux.virtual.simulation import Simulation
 
 
-BURST_NS = 10 * MS
+BURST_INTERVAL_NS = 10 * MS
 
 
 class DiscoveryFaults:
     """What befalls what a balancer is told."""
 
-    def __init__(self, stage: Simulation) -> None:
-        self._stage = stage
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
         self.by_name: dict[str, BalancerFault] = {
             "burst": self._burst,
             "drop": self._drop,
@@ -28,35 +28,35 @@
             "compact": self._compact,
         }
 
-    def _burst(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
+    def _burst(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         """The list changes often, and nothing in it."""
-        for wait in range(0, lasts_ns, BURST_NS):
-            self._stage.later(wait, self._say_again)
-
-    def _say_again(self) -> None:
-        box = self._stage.rng.choice(sorted(self._stage.said))
-        health, born = self._stage.said[box]
-        if health == "up" and box not in self._stage.busy_boxes:
-            self._stage.tell(box, health, born)
-
-    def _upset(self, balancer: RestartableBalancer, what: str, lasts_ns: int) -> None:
-        self._stage.run_in(
-            self._stage.kit,
+        for wait in range(0, duration_ns, BURST_INTERVAL_NS):
+            self._simulation.call_later(wait, self._repeat_notice)
+
+    def _repeat_notice(self) -> None:
+        box = self._simulation.rng.choice(sorted(self._simulation.last_notices))
+        health, born = self._simulation.last_notices[box]
+        if health == "up" and box not in self._simulation.boxes_in_transition:
+            self._simulation.tell(box, health, born)
+
+    def _disturb(self, balancer: RestartableBalancer, what: str, duration_ns: int) -> None:
+        self._simulation.call_in(
+            self._simulation.kit,
             balancer.agent.upset,
-            Happening(self._stage.now(), what, balancer.number, self._stage.now() + lasts_ns),
+            Happening(self._simulation.now(), what, balancer.number, self._simulation.now() + duration_ns),
         )
 
-    def _drop(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        self._upset(balancer, "drop", lasts_ns)
+    def _drop(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        self._disturb(balancer, "drop", duration_ns)
 
-    def _member(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        if self._stage.now() >= balancer.member_up_ns:  # one restart at a time
-            balancer.member_up_ns = self._stage.now() + SECOND
-            self._upset(balancer, "reset", lasts_ns)
+    def _member(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        if self._simulation.now() >= balancer.member_up_ns:  # one restart at a time
+            balancer.member_up_ns = self._simulation.now() + SECOND
+            self._disturb(balancer, "reset", duration_ns)
 
-    def _stall(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        self._upset(balancer, "stall", lasts_ns)
+    def _stall(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        self._disturb(balancer, "stall", duration_ns)
 
-    def _compact(self, balancer: RestartableBalancer, lasts_ns: int, about: object) -> None:
-        self._say_again()
-        self._upset(balancer, "compact", lasts_ns)
+    def _compact(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
+        self._repeat_notice()
+        self._disturb(balancer, "compact", duration_ns)
--- a/lanemux/virtual/leftovers.py
+++ b/lanemux/virtual/leftovers.py
@@ -9,29 +9,29 @@
 from lanemux.net.node import Node
 from lanemux.policy import Balancer
 from lanemux.storm.module import StormModule
-from lanemux.virtual.observed import Observed
+from lanemux.virtual.observed import ModuleMonitor
 from lanemux.virtual.process import Process
 
 HEALTH = {api.State.READY: "up", api.State.DRAINING: "draining"}
 
 
-def held_at(node: Node, module: Observed) -> dict[str, int]:
+def requests_held_by(node: Node, monitor: ModuleMonitor) -> dict[str, int]:
     """What a balancer keeps of requests, by its kind; nothing of it where all requests have ended."""
-    held = {**node.held(), **_held_by_decisions(module.decides), "sends": len(module.out)}
-    if isinstance(module.inner, StormModule):
-        held["storm's"] = module.inner.open_requests
+    held = {**node.held(), **_requests_held_by_module(monitor.balancer_module), "sends": len(monitor.open_attempts)}
+    if isinstance(monitor.module, StormModule):
+        held["storm's"] = monitor.module.open_requests
     return {name: count for name, count in held.items() if count}
 
 
-def _held_by_decisions(module: Balancer) -> dict[str, int]:
+def _requests_held_by_module(balancer_module: Balancer) -> dict[str, int]:
     return {
-        "requests": len(module.requests),
-        "held back": sum(len(t.held) for t in module.throttles.values()),
-        "in line": sum(len(p.queue) for p in module.fleet.pools.values()),
+        "requests": len(balancer_module.requests),
+        "held back": sum(len(t.held) for t in balancer_module.throttles.values()),
+        "in line": sum(len(p.queue) for p in balancer_module.fleet.pools.values()),
     }
 
 
-def believed_by(node: Node) -> dict[str, str]:
+def health_believed_by(node: Node) -> dict[str, str]:
     """The health of each host as a balancer believes it."""
     membership = node.upstream_set.membership
     return {
@@ -41,10 +41,10 @@
     }
 
 
-def left_by(process: Process) -> str:
+def resources_left_by(process: Process) -> str:
     """What a process that has ended left behind, or an empty text."""
     tasks = [task for task in asyncio.all_tasks(process.loop) if task is not process.main]
-    timers = process.loop.timers()
+    timers = process.loop.pending_timers()
     if not (tasks or timers or process.sockets):
         return ""
     return (
--- a/lanemux/virtual/loop.py
+++ b/lanemux/virtual/loop.py
@@ -21,8 +21,8 @@
     from lanemux.virtual.process import Process
 
 SECOND = 1_000_000_000
-LURCH_PART = 0.3  # of the times that a clock is read, while a standstill in the middle of a turn is due
-TIE_S = 0.4e-9  # under a nanosecond: settles the order of timers of the same one, and nothing else
+PAUSE_PROBABILITY = 0.3  # of the times that a clock is read, while a standstill in the middle of a turn is due
+TIE_BREAK_S = 0.4e-9  # under a nanosecond: settles the order of timers of the same one, and nothing else
 
 
 class VirtualSelector(selectors.BaseSelector):
@@ -31,47 +31,47 @@
     def __init__(self, process: Process) -> None:
         self._process = process
         self._keys: dict[int, selectors.SelectorKey] = {}
-        self._hot: dict[int, None] = {}  # may be ready; the others are not
+        self._maybe_ready: dict[int, None] = {}  # may be ready; the others are not
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         if number in self._keys:
             raise KeyError(f"{fileobj!r} is registered")
         self._keys[number] = selectors.SelectorKey(fileobj, number, events, data)
-        self._hot[number] = None
+        self._maybe_ready[number] = None
         return self._keys[number]
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         if number == -1:  # closed before it was taken off
             number = next(n for n, key in self._keys.items() if key.fileobj is fileobj)
-        self._hot.pop(number, None)
+        self._maybe_ready.pop(number, None)
         return self._keys.pop(number)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         self._keys[number] = self._keys[number]._replace(events=events, data=data)
-        self._hot[number] = None
+        self._maybe_ready[number] = None
         return self._keys[number]
 
-    def poke(self, number: int) -> None:
+    def notify(self, number: int) -> None:
         """Something about that socket has changed."""
         if number in self._keys:
-            self._hot[number] = None
+            self._maybe_ready[number] = None
 
     def ready(self) -> list[tuple[selectors.SelectorKey, int]]:
         found = []
-        for number in list(self._hot):
-            key, made = self._keys[number], self._process.sockets.get(number)
+        for number in list(self._maybe_ready):
+            key, sock = self._keys[number], self._process.sockets.get(number)
             mask = (
                 0
-                if made is None
-                else ((selectors.EVENT_READ if made.readable else 0) | (selectors.EVENT_WRITE if made.writable else 0))
+                if sock is None
+                else ((selectors.EVENT_READ if sock.readable else 0) | (selectors.EVENT_WRITE if sock.writable else 0))
             )
             if mask & key.events:
                 found.append((key, mask & key.events))
             else:
-                del self._hot[number]
+                del self._maybe_ready[number]
         return found
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
@@ -82,7 +82,7 @@
 
     def close(self) -> None:
         self._keys.clear()
-        self._hot.clear()
+        self._maybe_ready.clear()
 
     def get_map(self) -> Mapping[Any, selectors.SelectorKey]:
         return self._keys
@@ -96,49 +96,53 @@
 
     def __init__(self, process: Process) -> None:
         self._process = process
-        self._due: list[tuple[int, int, asyncio.TimerHandle]] = []
-        self._timers = 0
-        self._waiting = False  # something is to run in the next turn
-        self._virtual = VirtualSelector(process)
+        self._timer_heap: list[tuple[int, int, asyncio.TimerHandle]] = []
+        self._timer_count = 0
+        self._callbacks_pending = False  # something is to run in the next turn
+        self._virtual_selector = VirtualSelector(process)
         self._signals: dict[int, tuple[Callable[..., object], tuple[object, ...]]] = {}
-        super().__init__(self._virtual)
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         process = self._process
-        if process.lurch_ns and not process.lurch_decided and process.world.rng.random() < LURCH_PART:
-            process.lurch()
-        return process.world.agenda.now_ns / SECOND
+        if (
+            process.pending_pause_ns
+            and not process.pause_before_send
+            and process.world.rng.random() < PAUSE_PROBABILITY
+        ):
+            process.pause_mid_turn()
+        return process.world.event_queue.now_ns / SECOND
 
     # -- turns --
 
     def step(self) -> None:
         """One turn: look at the sockets, then run what is due and what waited."""
-        now = self._process.world.agenda.now_ns
-        self._waiting = False
+        now = self._process.world.event_queue.now_ns
+        self._callbacks_pending = False
         self.stop()  # told beforehand, a loop looks once, runs what is due by then, and returns
         self.run_forever()
-        while self._due and self._due[0][0] <= now:
-            heapq.heappop(self._due)
+        while self._timer_heap and self._timer_heap[0][0] <= now:
+            heapq.heappop(self._timer_heap)
 
     def next_ns(self) -> int:
         """When the next turn has something to do; now or earlier: at once."""
-        if self._waiting or self._virtual.ready():
+        if self._callbacks_pending or self._virtual_selector.ready():
             return 0
-        while self._due and self._due[0][2].cancelled():
-            heapq.heappop(self._due)
-        return self._due[0][0] if self._due else NEVER
+        while self._timer_heap and self._timer_heap[0][2].cancelled():
+            heapq.heappop(self._timer_heap)
+        return self._timer_heap[0][0] if self._timer_heap else NEVER
 
-    def timers(self) -> list[asyncio.TimerHandle]:
+    def pending_timers(self) -> list[asyncio.TimerHandle]:
         """Those that are set."""
-        return [handle for _, _, handle in self._due if not handle.cancelled()]
+        return [handle for _, _, handle in self._timer_heap if not handle.cancelled()]
 
-    def poke(self, number: int) -> None:
-        self._virtual.poke(number)
-        self._process.stir()
+    def notify(self, number: int) -> None:
+        self._virtual_selector.notify(number)
+        self._process.invalidate_next_ns()
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> asyncio.Handle:  # type: ignore[override]
-        self._waiting = True
-        self._process.stir()
+        self._callbacks_pending = True
+        self._process.invalidate_next_ns()
         return super().call_soon(callback, *args, context=context)
 
     def call_at(  # type: ignore[override]
@@ -148,10 +152,12 @@
         *args: Any,
         context: Any = None,
     ) -> asyncio.TimerHandle:
-        handle = super().call_at(when + self._process.world.rng.random() * TIE_S, callback, *args, context=context)
-        self._timers += 1
-        self._process.stir()
-        heapq.heappush(self._due, (math.ceil(when * SECOND - 0.01), self._timers, handle))
+        handle = super().call_at(
+            when + self._process.world.rng.random() * TIE_BREAK_S, callback, *args, context=context
+        )
+        self._timer_count += 1
+        self._process.invalidate_next_ns()
+        heapq.heappush(self._timer_heap, (math.ceil(when * SECOND - 0.01), self._timer_count, handle))
         return handle
 
     # -- signals --
@@ -172,33 +178,33 @@
 
     # -- sockets --
 
-    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
-        if more.get("sock") is None:
-            made = StreamSocket(self._process)
+    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
+        if options.get("sock") is None:
+            sock = StreamSocket(self._process)
             try:
-                await self.sock_connect(cast(Any, made), (host, port))
+                await self.sock_connect(cast(Any, sock), (host, port))
             except BaseException:
-                made.close()
+                sock.close()
                 raise
-            more["sock"] = made
-        return await super().create_connection(protocol_factory, **more)
+            options["sock"] = sock
+        return await super().create_connection(protocol_factory, **options)
 
-    async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
-        if more.get("sock") is None:
-            made = StreamSocket(self._process)
-            made.bind((host, port or 0))
-            more["sock"] = made
-        return await super().create_server(protocol_factory, **more)
+    async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
+        if options.get("sock") is None:
+            sock = StreamSocket(self._process)
+            sock.bind((host, port or 0))
+            options["sock"] = sock
+        return await super().create_server(protocol_factory, **options)
 
     async def create_datagram_endpoint(  # type: ignore[override]
         self,
         protocol_factory: Any,
         local_addr: Address | None = None,
-        **more: Any,
+        **options: Any,
     ) -> Any:
-        made = DatagramSocket(self._process)
-        made.bind(local_addr or ("127.0.0.1", 0))
-        return await super().create_datagram_endpoint(protocol_factory, sock=cast(Any, made))
+        sock = DatagramSocket(self._process)
+        sock.bind(local_addr or ("127.0.0.1", 0))
+        return await super().create_datagram_endpoint(protocol_factory, sock=cast(Any, sock))
 
     def socket_of(self, transport: asyncio.BaseTransport) -> VirtualSocket | None:
         """The socket under a transport of this loop; None once it is closed."""
--- a/lanemux/virtual/network.py
+++ b/lanemux/virtual/network.py
@@ -17,8 +17,8 @@
 Address = tuple[str, int]
 MS = 1_000_000
 SYN_RETRY_NS = (1000 * MS, 2000 * MS, 4000 * MS)  # as Linux tries again a connection whose first packet was lost
-DATAGRAMS_KEPT = 200  # waiting to be read at one socket; more are lost
-FIRST_FREE_PORT = 20_000
+MAX_QUEUED_DATAGRAMS = 200  # waiting to be read at one socket; more are lost
+FIRST_EPHEMERAL_PORT = 20_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,12 +27,12 @@
 
     latency_ns: int = 50_000
     jitter_ns: int = 0  # added, drawn from 0 to this
-    cut: float = 0.0  # how often a write is cut into several segments
-    room: int = 65_536  # bytes that may be on the way and unread in one direction
-    loss: float = 0.0  # datagrams
-    twice: float = 0.0  # datagrams that come a second time
-    late: float = 0.0  # datagrams that come very late
-    late_ns: int = 0
+    split_probability: float = 0.0  # how often a write is cut into several segments
+    buffer_bytes: int = 65_536  # bytes that may be on the way and unread in one direction
+    loss_probability: float = 0.0  # datagrams
+    duplicate_probability: float = 0.0  # datagrams that come a second time
+    delay_probability: float = 0.0  # datagrams that come very late
+    extra_delay_ns: int = 0
 
 
 @dataclass(slots=True)
@@ -41,98 +41,100 @@
 
     kind: str  # client, box, list, peer
     opener: str
-    to: int  # number of the box or balancer that it reaches
-    look: bool = False  # it carries a look at a box
+    target: int  # number of the box or balancer that it reaches
+    is_probe: bool = False  # it carries a look at a box
 
     def __str__(self) -> str:
-        return f"{self.kind}:{self.opener}>{self.to}"
+        return f"{self.kind}:{self.opener}>{self.target}"
 
 
 @dataclass(slots=True)
 class Segment:
     data: bytes
     sent_ns: int
-    what: str = "data"  # data, end, reset
+    flag: str = "data"  # data, end or reset
 
 
 @dataclass(slots=True)
 class Pipe:
     """One direction of a stream: what is on the way and what waits to be read."""
 
-    way: deque[tuple[int, Segment]] = field(default_factory=deque)  # when each arrives
-    here: deque[Segment] = field(default_factory=deque)
-    used: int = 0  # bytes of both
-    arrives_ns: int = 0  # the last one on the way: none overtakes it
-    due: bool = False  # an arrival is on the agenda
-    ended: bool = False  # the end was sent
+    in_transit: deque[tuple[int, Segment]] = field(default_factory=deque)  # when each arrives
+    received: deque[Segment] = field(default_factory=deque)
+    buffered_size: int = 0  # bytes of both
+    last_arrival_ns: int = 0  # the last one on the way: none overtakes it
+    arrival_scheduled: bool = False  # an arrival is on the agenda
+    end_sent: bool = False  # the end was sent
 
 
-class End:
+class Endpoint:
     """One end of a stream, as the kernel of its process holds it."""
 
-    def __init__(self, network: Network, label: Label, weather: LinkConditions, opener: bool) -> None:
-        self.network, self.label, self.weather = network, label, weather
+    def __init__(self, network: Network, label: Label, conditions: LinkConditions, opener: bool) -> None:
+        self.network, self.label, self.conditions = network, label, conditions
         self.opener = opener  # this end opened the stream
         self.incoming = Pipe()
-        self.peer: End | None = None
-        self.changed: Callable[[], None] = lambda: None  # readable or writable may be another now
-        self.end_here = False  # the other side's end has arrived
-        self.broken = False  # reset
+        self.peer: Endpoint | None = None
+        self.on_change: Callable[[], None] = lambda: None  # readable or writable may be another now
+        self.end_received = False  # the other side's end has arrived
+        self.was_reset = False  # reset
         self.closed = False
-        self.ended_ns = NEVER  # it has sent its end, or is closed or reset, since then
-        self.muted = False  # nothing that is sent to it arrives any more, and nobody is told
-        self.read_from_ns = self.read_to_ns = 0  # when the bytes that were read last had been written, first and last
+        self.write_ended_ns = NEVER  # it has sent its end, or is closed or reset, since then
+        self.silenced = False  # nothing that is sent to it arrives any more, and nobody is told
+        self.first_read_sent_ns = self.last_read_sent_ns = (
+            0  # when the bytes that were read last had been written, first and last
+        )
 
     # -- what the process asks --
 
     @property
     def readable(self) -> bool:
-        return bool(self.incoming.here) or self.end_here or self.broken
+        return bool(self.incoming.received) or self.end_received or self.was_reset
 
     @property
     def writable(self) -> bool:
-        return self.broken or self._out().used < self.weather.room
+        return self.was_reset or self._outgoing().buffered_size < self.conditions.buffer_bytes
 
-    def read(self, most: int) -> bytes | None:
+    def read(self, max_bytes: int) -> bytes | None:
         """Bytes, nothing at the end, None if there is none yet; ConnectionResetError behind the last byte."""
         pipe, size = self.incoming, 0
         parts: list[bytes] = []
-        while pipe.here and size < most:
-            segment = pipe.here[0]
-            part = segment.data[: most - size]
+        while pipe.received and size < max_bytes:
+            segment = pipe.received[0]
+            part = segment.data[: max_bytes - size]
             if not parts:
-                self.read_from_ns = segment.sent_ns
-            self.read_to_ns = segment.sent_ns
+                self.first_read_sent_ns = segment.sent_ns
+            self.last_read_sent_ns = segment.sent_ns
             parts.append(part)
             size += len(part)
             if len(part) == len(segment.data):
-                pipe.here.popleft()
+                pipe.received.popleft()
             else:
-                pipe.here[0] = Segment(segment.data[len(part) :], segment.sent_ns)
+                pipe.received[0] = Segment(segment.data[len(part) :], segment.sent_ns)
         if parts:
-            pipe.used -= size
+            pipe.buffered_size -= size
             if self.peer is not None:
-                self.peer.changed()
+                self.peer.on_change()
             return b"".join(parts)
-        if self.broken:
+        if self.was_reset:
             raise ConnectionResetError
-        return b"" if self.end_here else None
+        return b"" if self.end_received else None
 
     def write(self, data: bytes | memoryview) -> int:
         """How many bytes were taken; 0: there is no room. BrokenPipeError after a reset or an end of its own."""
-        if self.broken or self._out().ended:
+        if self.was_reset or self._outgoing().end_sent:
             raise BrokenPipeError
-        taken = bytes(data[: max(0, self.weather.room - self._out().used)])
+        taken = bytes(data[: max(0, self.conditions.buffer_bytes - self._outgoing().buffered_size)])
         start = 0
-        for size in self._cuts(len(taken)):
+        for size in self._segment_sizes(len(taken)):
             self._send(Segment(taken[start : start + size], self.network.now_ns))
             start += size
         return len(taken)
 
-    def end_writing(self) -> None:
-        if not (self.broken or self._out().ended):
-            self._out().ended = True
-            self.ended_ns = min(self.ended_ns, self.network.now_ns)
+    def shutdown_write(self) -> None:
+        if not (self.was_reset or self._outgoing().end_sent):
+            self._outgoing().end_sent = True
+            self.write_ended_ns = min(self.write_ended_ns, self.network.now_ns)
             self._send(Segment(b"", self.network.now_ns, "end"))
 
     def close(self, reset: bool = False) -> None:
@@ -140,23 +142,23 @@
         if self.closed:
             return
         self.closed = True
-        self.ended_ns = min(self.ended_ns, self.network.now_ns)
+        self.write_ended_ns = min(self.write_ended_ns, self.network.now_ns)
         self.network.streams.pop(self, None)
-        if self.broken:
+        if self.was_reset:
             return
-        if reset or self.incoming.here:
+        if reset or self.incoming.received:
             self._send(Segment(b"", self.network.now_ns, "reset"))
         else:
-            self.end_writing()
+            self.shutdown_write()
 
-    def mute(self) -> None:
+    def silence(self) -> None:
         """From now on nothing arrives in either direction, and both ends stay open in silence."""
         for end in (self, self.peer):
             if end is not None:
-                end.muted = True
-                end.incoming.way.clear()
+                end.silenced = True
+                end.incoming.in_transit.clear()
 
-    def cut_off(self) -> None:
+    def reset_both(self) -> None:
         """The network breaks it: both ends are reset at once."""
         for end in (self, self.peer):
             if end is not None and not end.closed:
@@ -164,80 +166,80 @@
 
     # -- the way --
 
-    def _out(self) -> Pipe:
+    def _outgoing(self) -> Pipe:
         assert self.peer is not None
         return self.peer.incoming
 
-    def _cuts(self, size: int) -> list[int]:
+    def _segment_sizes(self, size: int) -> list[int]:
         rng, sizes = self.network.rng, []
-        while size > 1 and rng.random() < self.weather.cut:
+        while size > 1 and rng.random() < self.conditions.split_probability:
             sizes.append(rng.randrange(1, size))
             size -= sizes[-1]
         return [*sizes, size] if size else []
 
     def _send(self, segment: Segment) -> None:
-        pipe = self._out()
-        pipe.used += len(segment.data)
-        arrives = self.network.arrival(self.label, self.weather)
-        pipe.arrives_ns = max(pipe.arrives_ns, arrives)
-        pipe.way.append((pipe.arrives_ns, segment))
+        pipe = self._outgoing()
+        pipe.buffered_size += len(segment.data)
+        arrives = self.network.arrival(self.label, self.conditions)
+        pipe.last_arrival_ns = max(pipe.last_arrival_ns, arrives)
+        pipe.in_transit.append((pipe.last_arrival_ns, segment))
         assert self.peer is not None
-        self.peer._expect()
+        self.peer._schedule_arrival()
 
-    def _expect(self) -> None:
-        if self.incoming.way and not self.incoming.due:
-            self.incoming.due = True
-            self.network.agenda.at(self.incoming.way[0][0], self._arrive)
+    def _schedule_arrival(self) -> None:
+        if self.incoming.in_transit and not self.incoming.arrival_scheduled:
+            self.incoming.arrival_scheduled = True
+            self.network.event_queue.call_at(self.incoming.in_transit[0][0], self._arrive)
 
     def _arrive(self) -> None:
-        self.incoming.due = False
-        if self.muted:
-            self.incoming.way.clear()
+        self.incoming.arrival_scheduled = False
+        if self.silenced:
+            self.incoming.in_transit.clear()
             return
-        held = self.network.held_until(self.label)
-        if held > self.network.now_ns:
-            if held < NEVER:
-                self.incoming.due = True
-                self.network.agenda.at(held, self._arrive)
+        held_until_ns = self.network.held_until(self.label)
+        if held_until_ns > self.network.now_ns:
+            if held_until_ns < NEVER:
+                self.incoming.arrival_scheduled = True
+                self.network.event_queue.call_at(held_until_ns, self._arrive)
             return
-        if self.incoming.way:
-            _, segment = self.incoming.way.popleft()
-            self._take(segment)
-            self._expect()
+        if self.incoming.in_transit:
+            _, segment = self.incoming.in_transit.popleft()
+            self._receive(segment)
+            self._schedule_arrival()
 
-    def _take(self, segment: Segment) -> None:
-        if self.broken:
+    def _receive(self, segment: Segment) -> None:
+        if self.was_reset:
             return
         if segment.data.startswith(b"GET /stats"):
-            self.label.look = True
+            self.label.is_probe = True
         elif segment.data and self.opener is False:
-            self.label.look = False
-        self.network.happened(self, segment)
+            self.label.is_probe = False
+        self.network.segment_arrived(self, segment)
         if self.closed:
-            if segment.what == "data" and self.peer is not None and not self.peer.broken:
+            if segment.flag == "data" and self.peer is not None and not self.peer.was_reset:
                 self._send(Segment(b"", self.network.now_ns, "reset"))
-        elif segment.what == "reset":
+        elif segment.flag == "reset":
             self._reset()
-        elif segment.what == "end":
-            self.end_here = True
-            self.changed()
+        elif segment.flag == "end":
+            self.end_received = True
+            self.on_change()
         else:
-            self.incoming.here.append(segment)
-            self.changed()
+            self.incoming.received.append(segment)
+            self.on_change()
 
     def _reset(self) -> None:
-        self.broken = True
-        self.ended_ns = min(self.ended_ns, self.network.now_ns)
-        self.incoming.way.clear()
-        self.changed()
+        self.was_reset = True
+        self.write_ended_ns = min(self.write_ended_ns, self.network.now_ns)
+        self.incoming.in_transit.clear()
+        self.on_change()
 
 
-class Queue:
+class ListenQueue:
     """A listening address: connections that came up and wait to be accepted."""
 
-    def __init__(self, address: Address, backlog: int, changed: Callable[[], None]) -> None:
-        self.address, self.backlog, self.changed = address, backlog, changed
-        self.waiting: deque[End] = deque()
+    def __init__(self, address: Address, backlog: int, on_change: Callable[[], None]) -> None:
+        self.address, self.backlog, self.on_change = address, backlog, on_change
+        self.waiting: deque[Endpoint] = deque()
         self.closed = False
 
     def close(self) -> None:
@@ -249,12 +251,12 @@
 class Mailbox:
     """A datagram address."""
 
-    def __init__(self, address: Address, changed: Callable[[], None]) -> None:
-        self.address, self.changed = address, changed
+    def __init__(self, address: Address, on_change: Callable[[], None]) -> None:
+        self.address, self.on_change = address, on_change
         self.waiting: deque[tuple[bytes, Address]] = deque()
 
 
-Seen = Callable[[str, str, Label, object], None]
+ArrivalObserver = Callable[[str, str, Label, object], None]
 
 
 class Network:
@@ -262,128 +264,135 @@
 
     def __init__(
         self,
-        agenda: EventQueue,
+        event_queue: EventQueue,
         rng: random.Random,
-        weather: dict[str, LinkConditions],
-        seen: Seen = lambda kind, what, label, about: None,
+        links: dict[str, LinkConditions],
+        on_arrival: ArrivalObserver = lambda kind, what, label, about: None,
     ) -> None:
-        self.agenda, self.rng, self.weather = agenda, rng, weather
-        self.places: dict[Address, tuple[str, int]] = {}  # what is at an address: kind of link and number
-        self.seen = seen  # told of all that arrives: kind, what, label, end or data
-        self.queues: dict[Address, Queue] = {}
+        self.event_queue, self.rng, self.links = event_queue, rng, links
+        self.targets: dict[Address, tuple[str, int]] = {}  # what is at an address: kind of link and number
+        self.on_arrival = on_arrival  # told of all that arrives: kind, what, label, end or data
+        self.queues: dict[Address, ListenQueue] = {}
         self.mailboxes: dict[Address, Mailbox] = {}
-        self.streams: dict[End, None] = {}  # that are open, by the end that opened them
-        self._held: dict[tuple[str, int], int] = {}
-        self._shut: dict[tuple[str, int], int] = {}
-        self._next_port = FIRST_FREE_PORT
+        self.streams: dict[Endpoint, None] = {}  # that are open, by the end that opened them
+        self._held_until: dict[tuple[str, int], int] = {}
+        self._shut_until: dict[tuple[str, int], int] = {}
+        self._next_port = FIRST_EPHEMERAL_PORT
 
     @property
     def now_ns(self) -> int:
-        return self.agenda.now_ns
+        return self.event_queue.now_ns
 
-    def free_port(self) -> int:
+    def ephemeral_port(self) -> int:
         self._next_port += 1
         return self._next_port
 
     # -- faults --
 
-    def hold(self, kind: str, to: int, until_ns: int) -> None:
+    def hold_traffic(self, kind: str, to: int, until_ns: int) -> None:
         """Nothing goes through on the links of that kind to that one, in either direction; all stays open."""
-        self._held[kind, to] = max(until_ns, self._held.get((kind, to), 0))
+        self._held_until[kind, to] = max(until_ns, self._held_until.get((kind, to), 0))
 
-    def shut(self, kind: str, to: int, until_ns: int) -> None:
+    def drop_connects(self, kind: str, to: int, until_ns: int) -> None:
         """New connections there do not come up: their first packets are lost."""
-        self._shut[kind, to] = max(until_ns, self._shut.get((kind, to), 0))
+        self._shut_until[kind, to] = max(until_ns, self._shut_until.get((kind, to), 0))
 
     def held_until(self, label: Label) -> int:
-        return self._held.get((label.kind, label.to), 0)
+        return self._held_until.get((label.kind, label.target), 0)
 
-    def arrival(self, label: Label, weather: LinkConditions) -> int:
-        wait = weather.latency_ns
-        if weather.jitter_ns:
-            wait += self.rng.randrange(weather.jitter_ns)
-        return max(self.now_ns + wait, self.held_until(label))
+    def arrival(self, label: Label, conditions: LinkConditions) -> int:
+        delay_ns = conditions.latency_ns
+        if conditions.jitter_ns:
+            delay_ns += self.rng.randrange(conditions.jitter_ns)
+        return max(self.now_ns + delay_ns, self.held_until(label))
 
     # -- streams --
 
-    def connect(self, opener: str, to: Address, own: Address, up: Callable[[End | None], None]) -> Callable[[], None]:
+    def connect(
+        self, opener: str, to: Address, local: Address, on_connected: Callable[[Endpoint | None], None]
+    ) -> Callable[[], None]:
         """Open a stream; `up` is told its end, or None: refused. Gives what calls it off."""
-        kind, number = self.places.get(to, ("other", 0))
+        kind, number = self.targets.get(to, ("other", 0))
         label = Label(kind, opener, number)
-        weather = self.weather.get(kind, LinkConditions())
-        off = [False]
+        conditions = self.links.get(kind, LinkConditions())
+        cancelled = [False]
 
-        def call_off() -> None:
-            off[0] = True
+        def cancel() -> None:
+            cancelled[0] = True
 
-        def knock(number_of_try: int) -> None:
-            if off[0]:
+        def attempt_connect(retry: int) -> None:
+            if cancelled[0]:
                 return
             queue = self.queues.get(to)
-            lost = self._shut.get((label.kind, label.to), 0) > self.now_ns or self.held_until(label) > self.now_ns
+            lost = (
+                self._shut_until.get((label.kind, label.target), 0) > self.now_ns
+                or self.held_until(label) > self.now_ns
+            )
             full = queue is not None and len(queue.waiting) > queue.backlog
             if lost or full:
-                if number_of_try < len(SYN_RETRY_NS):
-                    self.agenda.after(SYN_RETRY_NS[number_of_try], lambda: knock(number_of_try + 1))
+                if retry < len(SYN_RETRY_NS):
+                    self.event_queue.call_after(SYN_RETRY_NS[retry], lambda: attempt_connect(retry + 1))
             elif queue is None or queue.closed:
-                self.agenda.at(self.arrival(label, weather), lambda: None if off[0] else up(None))
+                self.event_queue.call_at(
+                    self.arrival(label, conditions), lambda: None if cancelled[0] else on_connected(None)
+                )
             else:
-                self._come_up(queue, label, weather, own, up, off)
+                self._establish(queue, label, conditions, local, on_connected, cancelled)
 
-        self.agenda.at(self.arrival(label, weather), lambda: knock(0))
-        return call_off
+        self.event_queue.call_at(self.arrival(label, conditions), lambda: attempt_connect(0))
+        return cancel
 
-    def _come_up(
+    def _establish(
         self,
-        queue: Queue,
+        queue: ListenQueue,
         label: Label,
-        weather: LinkConditions,
-        own: Address,
-        up: Callable[[End | None], None],
-        off: list[bool],
+        conditions: LinkConditions,
+        local: Address,
+        on_connected: Callable[[Endpoint | None], None],
+        cancelled: list[bool],
     ) -> None:
-        mine, theirs = End(self, label, weather, True), End(self, label, weather, False)
-        mine.peer, theirs.peer = theirs, mine
-        queue.waiting.append(theirs)
-        queue.changed()
+        opener_end, listener_end = Endpoint(self, label, conditions, True), Endpoint(self, label, conditions, False)
+        opener_end.peer, listener_end.peer = listener_end, opener_end
+        queue.waiting.append(listener_end)
+        queue.on_change()
 
         def arrive() -> None:
-            if off[0]:
-                mine.close(reset=True)  # it was given up while it came up
+            if cancelled[0]:
+                opener_end.close(reset=True)  # it was given up while it came up
                 return
-            self.streams[mine] = None
-            up(mine)
-            self.seen(label.kind, "up", label, mine)
+            self.streams[opener_end] = None
+            on_connected(opener_end)
+            self.on_arrival(label.kind, "up", label, opener_end)
 
-        self.agenda.at(self.arrival(label, weather), arrive)
+        self.event_queue.call_at(self.arrival(label, conditions), arrive)
 
-    def happened(self, end: End, segment: Segment) -> None:
+    def segment_arrived(self, end: Endpoint, segment: Segment) -> None:
         """Something has arrived at an end."""
-        side = "answer" if end.opener else "ask"
-        if segment.what != "data":
-            side = "gone" if not end.opener else "over"
-        elif end.label.kind == "box" and end.label.look:
-            side = "look " + side
-        self.seen(end.label.kind, side, end.label, (end, segment))
+        event = "answer" if end.opener else "ask"
+        if segment.flag != "data":
+            event = "gone" if not end.opener else "over"
+        elif end.label.kind == "box" and end.label.is_probe:
+            event = "look " + event
+        self.on_arrival(end.label.kind, event, end.label, (end, segment))
 
     # -- datagrams --
 
-    def send(self, data: bytes, own: Address, to: Address) -> None:
+    def send(self, data: bytes, local: Address, to: Address) -> None:
         """A datagram: it may be lost, come twice, late and in any order."""
-        kind, number = self.places.get(to, ("other", 0))
-        weather, rng = self.weather.get(kind, LinkConditions()), self.rng
-        label = Label(kind, f"{own[0]}:{own[1]}", number)
-        if self.held_until(label) > self.now_ns or rng.random() < weather.loss:
+        kind, number = self.targets.get(to, ("other", 0))
+        conditions, rng = self.links.get(kind, LinkConditions()), self.rng
+        label = Label(kind, f"{local[0]}:{local[1]}", number)
+        if self.held_until(label) > self.now_ns or rng.random() < conditions.loss_probability:
             return
-        for _ in range(2 if rng.random() < weather.twice else 1):
-            wait = weather.latency_ns + (rng.randrange(weather.jitter_ns) if weather.jitter_ns else 0)
-            if rng.random() < weather.late:
-                wait += weather.late_ns
-            self.agenda.after(wait, lambda: self._deliver(data, own, to, label))
+        for _ in range(2 if rng.random() < conditions.duplicate_probability else 1):
+            delay_ns = conditions.latency_ns + (rng.randrange(conditions.jitter_ns) if conditions.jitter_ns else 0)
+            if rng.random() < conditions.delay_probability:
+                delay_ns += conditions.extra_delay_ns
+            self.event_queue.call_after(delay_ns, lambda: self._deliver(data, local, to, label))
 
-    def _deliver(self, data: bytes, own: Address, to: Address, label: Label) -> None:
+    def _deliver(self, data: bytes, local: Address, to: Address, label: Label) -> None:
         mailbox = self.mailboxes.get(to)
-        if mailbox is not None and len(mailbox.waiting) < DATAGRAMS_KEPT:
-            mailbox.waiting.append((data, own))
-            self.seen(label.kind, "message", label, data)
-            mailbox.changed()
+        if mailbox is not None and len(mailbox.waiting) < MAX_QUEUED_DATAGRAMS:
+            mailbox.waiting.append((data, local))
+            self.on_arrival(label.kind, "message", label, data)
+            mailbox.on_change()
--- a/lanemux/virtual/observed.py
+++ b/lanemux/virtual/observed.py
@@ -10,69 +10,76 @@
 from lanemux.policy import Balancer
 from lanemux.rehearsal.plan import MS
 
-OVER_NS = 5 * MS  # an attempt may end so long after its time-out: turns take time
+TIMEOUT_GRACE_NS = 5 * MS  # an attempt may end so long after its time-out: turns take time
 
 ModuleWrapper = Callable[
     [Balancer, api.Settings, int, int], Module
 ]  # what stands round the decisions; with seed and time
 
 
-class Observed:
+class ModuleMonitor:
     """The module between the node and its decisions: it holds that every Send has one Outcome, and one is out."""
 
     def __init__(
         self,
-        settings_told: api.Settings,
+        settings: api.Settings,
         seed: int,
         now: int,
         wrap_module: ModuleWrapper | None,
-        accuse: Callable[[str, str], None],
-        excused: Callable[[int, int], bool],
-        listed: Callable[[int, api.ListUpdate], None],
-        sending: Callable[[], None],
+        report_violation: Callable[[str, str], None],
+        was_exempt: Callable[[int, int], bool],
+        on_list_update: Callable[[int, api.ListUpdate], None],
+        on_send: Callable[[], None],
     ) -> None:
-        self.decides = Balancer(settings_told, seed, now)
-        self.inner: Module = (
-            wrap_module(self.decides, settings_told, seed, now) if wrap_module is not None else self.decides
+        self.balancer_module = Balancer(settings, seed, now)
+        self.module: Module = (
+            wrap_module(self.balancer_module, settings, seed, now) if wrap_module is not None else self.balancer_module
+        )
+        self.open_attempts: dict[tuple[str, int], int] = {}  # attempt -> when it is to time out; 0: not told
+        self._send_counts: Counter[str] = Counter()
+        self._report_violation, self._was_exempt, self._on_list_update, self._on_send = (
+            report_violation,
+            was_exempt,
+            on_list_update,
+            on_send,
         )
-        self.out: dict[tuple[str, int], int] = {}  # attempt -> when it is to time out; 0: not told
-        self._sends: Counter[str] = Counter()
-        self._accuse, self._excused, self._listed, self._sending = accuse, excused, listed, sending
         self._now = now
 
     def avoided(self, now: int) -> int:
         """As the decisions tell it."""
-        return self.inner.avoided(now)
+        return self.module.avoided(now)
 
     def standing(self, now: int) -> Mapping[str, object]:
         """As the decisions tell it."""
-        return self.inner.standing(now)
+        return self.module.standing(now)
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         events = list(events)
         if now < self._now:
-            self._accuse("clock", "the clock went back")
+            self._report_violation("clock", "the clock went back")
         self._now = now
         for event in events:
             if isinstance(event, api.ListUpdate):
-                self._listed(now, event)
+                self._on_list_update(now, event)
             elif isinstance(event, api.Outcome):
-                due = self.out.pop((event.request, event.attempt), None)
-                if due is None:
-                    self._accuse("outcome", f"an outcome of attempt {event.attempt} that was not out")
-                elif due and now > due + OVER_NS and not self._excused(due, now):
-                    self._accuse("time-out", f"an attempt ended {(now - due) / MS:.1f} ms after its time was up")
+                times_out_ns = self.open_attempts.pop((event.request, event.attempt), None)
+                if times_out_ns is None:
+                    self._report_violation("outcome", f"an outcome of attempt {event.attempt} that was not out")
+                elif times_out_ns and now > times_out_ns + TIMEOUT_GRACE_NS and not self._was_exempt(times_out_ns, now):
+                    self._report_violation(
+                        "time-out", f"an attempt ended {(now - times_out_ns) / MS:.1f} ms after its time was up"
+                    )
         try:
-            actions = self.inner.handle(now, events)
+            actions = self.module.handle(now, events)
         except Exception as error:
-            self._accuse("crash", f"the module failed: {error!r}")
+            self._report_violation("crash", f"the module failed: {error!r}")
             raise
         for action in actions:
             if isinstance(action, api.Send):
-                number = self._sends[action.request]
-                self._sends[action.request] += 1
-                if any(request == action.request for request, _ in self.out):
-                    self._accuse("twice", "a second attempt was decided while one is out")
-                self._sending()
-                self.out[action.request, number] = now + action.timeout_ns if action.timeout_ns else 0
+                attempt_number = self._send_counts[action.request]
+                self._send_counts[action.request] += 1
+                if any(request == action.request for request, _ in self.open_attempts):
+                    self._report_violation("twice", "a second attempt was decided while one is out")
+                self._on_send()
+                self.open_attempts[action.request, attempt_number] = now + action.timeout_ns if action.timeout_ns else 0
         return actions
--- a/lanemux/virtual/process.py
+++ b/lanemux/virtual/process.py
@@ -13,7 +13,7 @@
 from lanemux.virtual.event_queue import NEVER
 from lanemux.virtual.loop import VirtualLoop
 from lanemux.virtual.network import Address
-from lanemux.virtual.sockets import FIRST_FILENO, StreamSocket, VirtualSocket, failure
+from lanemux.virtual.sockets import FIRST_FILENO, StreamSocket, VirtualSocket, os_error
 
 if TYPE_CHECKING:
     from lanemux.virtual.world import World
@@ -51,58 +51,58 @@
     def __init__(self, world: World, name: str, descriptors: int = 1024) -> None:
         self.world, self.name = world, name
         self.descriptors = descriptors  # it may have so many open
-        self.memory = True  # False: the kernel has none for it
+        self.has_memory = True  # False: the kernel has none for it
         self.disk = Disk()
         self.wall_offset_ns = 1_700_000_000 * 10**9
         self.sockets: dict[int, VirtualSocket] = {}
-        self.judged = False  # what the judge looks at is written in its turns
-        self.still_until_ns = 0  # it does not run before then
-        self._next_ns = 0  # what `next_ns` told last
-        self._stale = True  # and whether that may be another by now
-        self.lurch_ns = 0  # the machine is to stand still for so long in the middle of a turn
-        self.lurch_decided = False  # and that behind a decision, before it is carried out
-        self.lurched: Callable[[int], None] = lambda for_ns: None
+        self.check_after_step = False  # what the judge looks at is written in its turns
+        self.paused_until_ns = 0  # it does not run before then
+        self._cached_next_ns = 0  # what `next_ns` told last
+        self._next_ns_stale = True  # and whether that may be another by now
+        self.pending_pause_ns = 0  # the machine is to stand still for so long in the middle of a turn
+        self.pause_before_send = False  # and that behind a decision, before it is carried out
+        self.on_pause: Callable[[int], None] = lambda duration_ns: None
         self.accepted = 0  # connections that it has accepted and not closed
-        self.entered: Callable[[int], None] = lambda accepted: None  # told of each change of that
+        self.on_accepted_change: Callable[[int], None] = lambda accepted: None  # told of each change of that
         self.alive = True
-        self.faults: list[str] = []  # exceptions that nobody caught
+        self.errors: list[str] = []  # exceptions that nobody caught
         self.main: asyncio.Task[Any] | None = None
-        self._next = FIRST_FILENO
-        self._stepped_ns = -1
+        self._last_fileno = FIRST_FILENO
+        self._last_step_ns = -1
         self.loop = VirtualLoop(self)
-        self.loop.set_exception_handler(self._fault)
+        self.loop.set_exception_handler(self._on_loop_error)
 
-    def _fault(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        self.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
+    def _on_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     # -- the kernel's side --
 
-    def adopt(self, made: VirtualSocket) -> int:
-        self.check_room()
-        self._next += 1
-        self.sockets[self._next] = made
-        return self._next
+    def register_socket(self, made: VirtualSocket) -> int:
+        self.check_descriptor_available()
+        self._last_fileno += 1
+        self.sockets[self._last_fileno] = made
+        return self._last_fileno
 
-    def check_room(self) -> None:
+    def check_descriptor_available(self) -> None:
         """OSError where no further descriptor or no memory is to be had."""
         if len(self.sockets) >= self.descriptors:
-            raise failure(errno.EMFILE)
+            raise os_error(errno.EMFILE)
         self.check_memory()
 
     def check_memory(self) -> None:
-        if not self.memory:
-            raise failure(errno.ENOBUFS)
+        if not self.has_memory:
+            raise os_error(errno.ENOBUFS)
 
     def release(self, number: int) -> None:
         self.sockets.pop(number, None)
 
-    def poke(self, number: int) -> None:
-        self.loop.poke(number)
+    def notify(self, number: int) -> None:
+        self.loop.notify(number)
 
-    def took(self, change: int) -> None:
+    def count_accepted(self, change: int) -> None:
         """A connection has been accepted (1) or closed (-1)."""
         self.accepted += change
-        self.entered(self.accepted)
+        self.on_accepted_change(self.accepted)
 
     def socket(self) -> StreamSocket:
         return StreamSocket(self)
@@ -110,7 +110,7 @@
     # -- the machine, for the balancer --
 
     def wall_ns(self) -> int:
-        return self.world.agenda.now_ns + self.wall_offset_ns
+        return self.world.event_queue.now_ns + self.wall_offset_ns
 
     def cpu_time_s(self) -> float:
         return 0.05
@@ -137,7 +137,7 @@
         return VirtualListener(self, address, backlog)
 
     def inherit(self, descriptor: int) -> VirtualListener:
-        raise failure(errno.EBADF)  # no virtual platform holds a listener
+        raise os_error(errno.EBADF)  # no virtual platform holds a listener
 
     def read(self, path: str, most: int) -> bytes:
         return self.disk.read(path, most)
@@ -149,10 +149,10 @@
         """A virtual disk needs no folders."""
 
     def list_directory(self, folder: str) -> list[str]:
-        return self.disk.names(folder)
+        return self.disk.list_directory(folder)
 
     def directory_mtime_ns(self, folder: str) -> int:
-        return self.disk.changes
+        return self.disk.replacements
 
     # -- life --
 
@@ -164,45 +164,45 @@
     def next_ns(self) -> int:
         """When it has something to do; NEVER once it is gone. Asked before every step of the world: worked out anew
         only when something has happened to it."""
-        if self._stale:
-            self._stale = False
-            self._next_ns = self._due_ns() if self.alive else NEVER
-        return self._next_ns
+        if self._next_ns_stale:
+            self._next_ns_stale = False
+            self._cached_next_ns = self._due_ns() if self.alive else NEVER
+        return self._cached_next_ns
 
     def _due_ns(self) -> int:
         due = self.loop.next_ns()
-        if 0 < due <= self._stepped_ns:
-            due = self._stepped_ns + 1  # what was due has run; a turn for nothing must not repeat for ever
-        return max(due, self.still_until_ns)
+        if 0 < due <= self._last_step_ns:
+            due = self._last_step_ns + 1  # what was due has run; a turn for nothing must not repeat for ever
+        return max(due, self.paused_until_ns)
 
-    def stir(self) -> None:
+    def invalidate_next_ns(self) -> None:
         """Something has happened to it: when it runs next may be another time by now."""
-        self._stale = True
+        self._next_ns_stale = True
 
-    def stay_still(self, until_ns: int) -> None:
+    def pause_until(self, until_ns: int) -> None:
         """It does not run before then."""
-        self.still_until_ns = max(self.still_until_ns, until_ns)
-        self._stale = True
+        self.paused_until_ns = max(self.paused_until_ns, until_ns)
+        self._next_ns_stale = True
 
     def step(self) -> None:
-        self._stepped_ns = self.world.agenda.now_ns
+        self._last_step_ns = self.world.event_queue.now_ns
         self.loop.step()
-        self._stale = True
+        self._next_ns_stale = True
         if self.main is not None and self.main.done() and self.alive:
-            self._over(self.main)
+            self._main_finished(self.main)
 
-    def _over(self, main: asyncio.Task[Any]) -> None:
+    def _main_finished(self, main: asyncio.Task[Any]) -> None:
         """It has ended by itself."""
         if not main.cancelled() and (error := main.exception()) is not None:
-            self.faults.append(f"it ended by {error!r}")
-        self.world.ended(self)
+            self.errors.append(f"it ended by {error!r}")
+        self.world.on_process_end(self)
         self.kill()
 
-    def lurch(self) -> None:
+    def pause_mid_turn(self) -> None:
         """The machine stands still in the middle of a turn: the clock goes on between two instructions."""
-        for_ns, self.lurch_ns = self.lurch_ns, 0
-        self.lurched(for_ns)
-        self.world.agenda.now_ns += for_ns
+        duration_ns, self.pending_pause_ns = self.pending_pause_ns, 0
+        self.on_pause(duration_ns)
+        self.world.event_queue.now_ns += duration_ns
 
     def signal(self, number: signal.Signals) -> None:
         """What the process does not handle kills it, except SIGHUP, which the daemon ignores until it is up."""
@@ -212,14 +212,14 @@
     def kill(self) -> None:
         """As SIGKILL: its connections are closed by the kernel, nothing of it runs any more."""
         self.alive = False
-        self._stale = True
-        self._leave()
+        self._next_ns_stale = True
+        self._close_sockets()
 
-    def _leave(self) -> None:
+    def _close_sockets(self) -> None:
         for made in list(self.sockets.values()):
             made.close()
 
-    def clear_away(self) -> None:
+    def dispose(self) -> None:
         """At the end of a world: nothing of it may run later, also not as garbage."""
         self.alive = False
         self.loop.set_exception_handler(lambda loop, context: None)
@@ -229,5 +229,5 @@
             if not asyncio.all_tasks(self.loop):
                 break
             self.loop.step()
-        self._leave()
+        self._close_sockets()
         self.loop.close()
--- a/lanemux/virtual/script.py
+++ b/lanemux/virtual/script.py
@@ -71,18 +71,18 @@
     "compact": (3, 0, 0),  # etcd: history goes while the watch is away
     "outage": (0, 400, 2500),  # storms: a third of the boxes die together; each comes back cold in its own time
 }
-ETCD = ("drop", "member", "stall", "compact")
-BOXES = ("drain", "die", "freeze", "vanish", "swap", "reset", "hold", "shut", "mute", "trade", "outage")
-STORM_ONLY = ("outage",)  # not drawn in the usual worlds
-ABOUT_EVENT = -1  # whom the event is about
-MOST_FAULTS = 6
+ETCD_FAULTS = ("drop", "member", "stall", "compact")
+BOX_FAULTS = ("drain", "die", "freeze", "vanish", "swap", "reset", "hold", "shut", "mute", "trade", "outage")
+STORM_ONLY_FAULTS = ("outage",)  # not drawn in the usual worlds
+EVENT_TARGET = -1  # whom the event is about
+MAX_FAULTS = 6
 SECONDS = 4.0
 STORM_SECONDS = 5.0
-CUT_IN_STORM = 0.1  # of the links that may cut writes
-TWIN = 0.45  # share of faults that come with another one at the same moment
-ON_EVENT = 0.7
-BLIND = 0.2  # share of worlds in which boxes are not looked at: there a request goes out again in its own turn
-LATE_MS = 600_000  # datagrams that are minutes late come after the run
+STORM_SPLIT_SHARE = 0.1  # of the links that may cut writes
+SIMULTANEOUS_SHARE = 0.45  # share of faults that come with another one at the same moment
+EVENT_TRIGGERED_SHARE = 0.7
+UNPROBED_SHARE = 0.2  # share of worlds in which boxes are not looked at: there a request goes out again in its own turn
+LONG_DELAY_MS = 600_000  # datagrams that are minutes late come after the run
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
     """One thing that goes wrong."""
 
     what: str
-    who: int = ABOUT_EVENT  # number of the box or balancer
+    who: int = EVENT_TARGET  # number of the box or balancer
     at_ms: float = 0.0  # from the first moment of the run; with `on`: without meaning
     on: str = ""  # the kind of event that brings it
     nth: int = 0  # and which of its kind, from 1
@@ -114,9 +114,9 @@
     """What a seed makes of the world, before anything goes wrong."""
 
     scenario: Scenario
-    weather: dict[str, LinkConditions] = field(default_factory=dict)
-    busy_ns: int = 0
-    sockets: int = 1024
+    links: dict[str, LinkConditions] = field(default_factory=dict)
+    max_step_ns: int = 0
+    descriptor_limit: int = 1024
 
 
 CLASSES = (
@@ -129,11 +129,11 @@
 
 def world_setup(seed: int, calm: bool = False, storm: bool = False) -> WorldSetup:
     """The world of a seed."""
-    made = _usual(seed, calm)
+    setup = _base_setup(seed, calm)
     if storm:
         rng = random.Random(f"{seed}/storm")
-        boxes, s = rng.randint(3, 6), made.scenario
-        made.scenario = dataclasses.replace(
+        boxes, s = rng.randint(3, 6), setup.scenario
+        setup.scenario = dataclasses.replace(
             s,
             seconds=STORM_SECONDS,
             fleet=dataclasses.replace(s.fleet, boxes=boxes, balancers=rng.randint(2, 4)),
@@ -143,12 +143,14 @@
         )
         # Few sockets would leave callers unaccepted, and writes cut to bytes take most of a run's steps: both are the
         # usual worlds' matter.
-        made.sockets = 1024
-        made.weather = {
-            kind: w if rng.random() < CUT_IN_STORM else dataclasses.replace(w, cut=0.0, room=65_536)
-            for kind, w in made.weather.items()
+        setup.descriptor_limit = 1024
+        setup.links = {
+            kind: w
+            if rng.random() < STORM_SPLIT_SHARE
+            else dataclasses.replace(w, split_probability=0.0, buffer_bytes=65_536)
+            for kind, w in setup.links.items()
         }
-    return made
+    return setup
 
 
 def needs_etcd(seed: int) -> bool:
@@ -156,7 +158,7 @@
     return world_setup(seed).scenario.discovery.source == "etcd"
 
 
-def _usual(seed: int, calm: bool) -> WorldSetup:
+def _base_setup(seed: int, calm: bool) -> WorldSetup:
     rng = random.Random(f"{seed}/setting")
     boxes, balancers = rng.randint(2, 5), rng.choice((1, 2, 2, 3))
     source = "etcd" if rng.random() < 0.35 else "agent"
@@ -172,7 +174,7 @@
             idle_s=rng.choice((3.0, 15.0)),
             error_rate=(0.0, 0.02),
             cold_s=(1.0, 3.0),
-            looks=random.Random(f"{seed}/looks").random() >= BLIND,
+            looks=random.Random(f"{seed}/looks").random() >= UNPROBED_SHARE,
         ),
         Load(rate=rng.uniform(3.0, 7.0) * boxes),
         Callers(impatient=0.05, honour=0.5),
@@ -181,14 +183,14 @@
         classes=CLASSES,
         partners=PARTNERS,
     )
-    made = WorldSetup(scenario, sockets=rng.choice((1024, 1024, 96)))
+    setup = WorldSetup(scenario, descriptor_limit=rng.choice((1024, 1024, 96)))
     if not calm:
-        made.weather = {kind: _weather(rng, kind) for kind in ("client", "box", "list", "peer")}
-        made.busy_ns = rng.choice((0, 0, 40_000, 400_000))
-    return made
+        setup.links = {kind: _link_conditions(rng, kind) for kind in ("client", "box", "list", "peer")}
+        setup.max_step_ns = rng.choice((0, 0, 40_000, 400_000))
+    return setup
 
 
-def _weather(rng: random.Random, kind: str) -> LinkConditions:
+def _link_conditions(rng: random.Random, kind: str) -> LinkConditions:
     """Links that are often exactly as fast as one another, so that things arrive in the same instant."""
     latency = rng.choice((0, 50_000, 50_000, 1_000_000, 3_000_000))
     jitter = rng.choice((0, 0, 100_000, 2_000_000))
@@ -196,12 +198,17 @@
         return LinkConditions(
             latency,
             jitter,
-            loss=rng.choice((0.0, 0.1, 0.5)),
-            twice=rng.choice((0.0, 0.2)),
-            late=rng.choice((0.0, 0.1)),
-            late_ns=rng.choice((500, LATE_MS)) * MS,
+            loss_probability=rng.choice((0.0, 0.1, 0.5)),
+            duplicate_probability=rng.choice((0.0, 0.2)),
+            delay_probability=rng.choice((0.0, 0.1)),
+            extra_delay_ns=rng.choice((500, LONG_DELAY_MS)) * MS,
         )
-    return LinkConditions(latency, jitter, cut=rng.choice((0.0, 0.0, 0.5, 0.9)), room=rng.choice((700, 4096, 65_536)))
+    return LinkConditions(
+        latency,
+        jitter,
+        split_probability=rng.choice((0.0, 0.0, 0.5, 0.9)),
+        buffer_bytes=rng.choice((700, 4096, 65_536)),
+    )
 
 
 def draw(seed: int, storm: bool = False) -> Script:
@@ -219,19 +226,19 @@
             )
             for at in (first, first + rng.uniform(500, 3000))[: rng.choice((1, 1, 2))]
         ]
-    for _ in range(rng.randint(1, MOST_FAULTS)):
+    for _ in range(rng.randint(1, MAX_FAULTS)):
         fault = _fault(rng, world)
         faults.append(fault)
-        if rng.random() < TWIN:
-            twin = _fault(rng, world)
+        if rng.random() < SIMULTANEOUS_SHARE:
+            simultaneous = _fault(rng, world)
             faults.append(
                 dataclasses.replace(
-                    twin,
+                    simultaneous,
                     at_ms=fault.at_ms,
                     on=fault.on,
                     nth=fault.nth,
                     lag_us=rng.choice((fault.lag_us, fault.lag_us, fault.lag_us + 1000)),
-                    who=twin.who if fault.on or twin.who != ABOUT_EVENT else 0,
+                    who=simultaneous.who if fault.on or simultaneous.who != EVENT_TARGET else 0,
                 )
             )
     return Script(seed, tuple(faults), storm=storm)
@@ -242,24 +249,26 @@
     kinds = [
         k
         for k in FAULTS
-        if k not in STORM_ONLY and (source == "etcd" or k not in ETCD) and (source == "agent" or k != "move")
+        if k not in STORM_ONLY_FAULTS
+        and (source == "etcd" or k not in ETCD_FAULTS)
+        and (source == "agent" or k != "move")
     ]
     what = rng.choices(kinds, [FAULTS[k][0] for k in kinds])[0]
     low, high = FAULTS[what][1:]
-    lasts = round(rng.uniform(low, high), 1) if high > low else 0.0
+    duration_ms = round(rng.uniform(low, high), 1) if high > low else 0.0
     fleet = world.scenario.fleet
-    who = rng.randrange(fleet.boxes if what in BOXES else fleet.balancers)
-    if rng.random() >= ON_EVENT:
-        return Fault(what, who, at_ms=round(rng.uniform(0, SECONDS * 1000), 3), for_ms=lasts)
+    who = rng.randrange(fleet.boxes if what in BOX_FAULTS else fleet.balancers)
+    if rng.random() >= EVENT_TRIGGERED_SHARE:
+        return Fault(what, who, at_ms=round(rng.uniform(0, SECONDS * 1000), 3), for_ms=duration_ms)
     on = rng.choice(EVENTS)
     lag = rng.choice((0, 0, 0, 1, 1000, rng.randrange(20_000)))
     return Fault(
         what,
-        ABOUT_EVENT if rng.random() < 0.7 else who,
+        EVENT_TARGET if rng.random() < 0.7 else who,
         on=on,
         nth=int(rng.paretovariate(0.6)) % 200 + 1,
         lag_us=lag,
-        for_ms=lasts,
+        for_ms=duration_ms,
     )
 
 
@@ -268,7 +277,7 @@
     lines = [f"def test_seed_{script.seed}() -> None:", "    assert play(Script(", f"        seed={script.seed},"]
     if script.faults:
         lines.append("        faults=(")
-        lines += [f"            {_brief(fault)}," for fault in script.faults]
+        lines += [f"            {_fault_call(fault)}," for fault in script.faults]
         lines.append("        ),")
     if script.asks is not None:
         lines.append(f"        asks={script.asks!r},")
@@ -279,11 +288,11 @@
     return "\n".join([*lines, "    )).violations == []"])
 
 
-def _brief(fault: Fault) -> str:
+def _fault_call(fault: Fault) -> str:
     """The fault with what differs from the defaults."""
-    said = [repr(fault.what)]
+    arguments = [repr(fault.what)]
     for f in dataclasses.fields(fault)[1:]:
         value = getattr(fault, f.name)
         if value != f.default:
-            said.append(f"{f.name}={value!r}")
-    return f"Fault({', '.join(said)})"
+            arguments.append(f"{f.name}={value!r}")
+    return f"Fault({', '.join(arguments)})"
--- a/lanemux/virtual/simulation.py
+++ b/lanemux/virtual/simulation.py
@@ -39,27 +39,39 @@
 from lanemux.storm.module import StormModule, StormOptions
 from lanemux.virtual import leftovers
 from lanemux.virtual.balancer import CONFIGURATION, RestartableBalancer
-from lanemux.virtual.event_queue import ZERO_NS
+from lanemux.virtual.connection_times import ExactConnectionTimes, NoPollTimes
+from lanemux.virtual.event_queue import RUN_START_NS
 from lanemux.virtual.faults.balancer import BalancerFaults
 from lanemux.virtual.faults.box import BoxFaults
 from lanemux.virtual.faults.client import ClientFaults
 from lanemux.virtual.faults.discovery import DiscoveryFaults
 from lanemux.virtual.network import Address, Label
-from lanemux.virtual.observed import OVER_NS, ModuleWrapper, Observed
+from lanemux.virtual.observed import TIMEOUT_GRACE_NS, ModuleMonitor, ModuleWrapper
 from lanemux.virtual.process import Process
-from lanemux.virtual.rule_checker import Excuses, RuleChecker
-from lanemux.virtual.script import ABOUT_EVENT, BOXES, Fault, Script, WorldSetup, world_setup
-from lanemux.virtual.sight import ExactSight, NoLooks
+from lanemux.virtual.rule_checker import Exemptions, RuleChecker
+from lanemux.virtual.script import BOX_FAULTS, EVENT_TARGET, Fault, Script, WorldSetup, world_setup
 from lanemux.virtual.world import World
 
-AFTER_LAST_NS = 8 * SECOND  # from the last ask to the quiet: the longest fault and the longest deadline
-QUIET_NS = 3 * SECOND  # longer than any connection stays idle at a balancer
-LEAVE_NS = 5 * SECOND  # longer than a balancer's drain
-WAIT_NS = 6 * SECOND  # callers wait so long for an answer that may be excused
-FIRST_BYTES = 60  # of what arrives, shown in the timeline
-LEAST_PLACES, SPARE_SOCKETS = 8, 32  # for clients' connections: what a balancer may keep of its descriptors for others
-STORM_PLAN = StormOptions()
-PLANNED = ("die", "start", "drain", "leave", "vanish", "return", "freeze", "neighbour")  # a plan's own, of boxes
+SETTLE_NS = 8 * SECOND  # from the last ask to the quiet: the longest fault and the longest deadline
+IDLE_NS = 3 * SECOND  # longer than any connection stays idle at a balancer
+SHUTDOWN_NS = 5 * SECOND  # longer than a balancer's drain
+CALLER_WAIT_NS = 6 * SECOND  # callers wait so long for an answer that may be excused
+TIMELINE_BYTES = 60  # of what arrives, shown in the timeline
+MIN_CLIENT_CONNECTIONS, RESERVED_DESCRIPTORS = (
+    8,
+    32,
+)  # for clients' connections: what a balancer may keep of its descriptors for others
+STORM_OPTIONS = StormOptions()
+PLANNED_BOX_CHANGES = (
+    "die",
+    "start",
+    "drain",
+    "leave",
+    "vanish",
+    "return",
+    "freeze",
+    "neighbour",
+)  # a plan's own, of boxes
 
 
 @dataclass(slots=True)
@@ -80,8 +92,8 @@
     timeline: list[str] = field(default_factory=list)
 
 
-def _storm(decides: Balancer, told: api.Settings, seed: int, now: int) -> Module:
-    return StormModule(decides, told, STORM_PLAN, seed, now)
+def _storm_module(balancer_module: Balancer, told: api.Settings, seed: int, now: int) -> Module:
+    return StormModule(balancer_module, told, STORM_OPTIONS, seed, now)
 
 
 class Simulation:
@@ -90,48 +102,52 @@
     def __init__(
         self,
         script: Script,
-        traced: bool = False,
+        trace_enabled: bool = False,
         setup: WorldSetup | None = None,
         wrap_module: ModuleWrapper | None = None,
     ) -> None:
         """`wrap_module`: round the decisions; None: the storm's module in storms, else nothing."""
         self.script = script
-        self._wrap_module = wrap_module or (_storm if script.storm else None)
+        self._wrap_module = wrap_module or (_storm_module if script.storm else None)
         setup = setup or world_setup(script.seed, script.calm, script.storm)
         self.plan = draw(setup.scenario, script.seed)
-        self.drawn = len(self.plan.asks)
+        self.drawn_ask_count = len(self.plan.asks)
         if script.asks is not None:
             kept = set(script.asks)
             self.plan.asks = [dataclasses.replace(a) for a in self.plan.asks if a.number in kept]
         self._number_asks()
-        self.sockets = setup.sockets
-        self.world = World(f"{script.seed}/world", setup.weather)
-        self.world.busy_ns = setup.busy_ns
-        self.books, self.boxes_books, self.excuses = CallerBooks(), BoxBooks(), Excuses()
-        self.closed: dict[int, dict[int, list[list[int]]]] = {}  # balancer -> upstream -> spans from read news to news
-        self.ids = Membership(0)  # numbers hosts as every balancer does
-        self.judge = RuleChecker(
+        self.descriptor_limit = setup.descriptor_limit
+        self.world = World(f"{script.seed}/world", setup.links)
+        self.world.max_step_ns = setup.max_step_ns
+        self.books, self.box_books, self.exemptions = CallerBooks(), BoxBooks(), Exemptions()
+        self.closed_spans: dict[
+            int, dict[int, list[list[int]]]
+        ] = {}  # balancer -> upstream -> spans from read news to news
+        self.host_ids = Membership(0)  # numbers hosts as every balancer does
+        self.checker = RuleChecker(
             self.plan,
-            self.boxes_books,
+            self.box_books,
             self.books,
-            self.excuses,
-            self._closed_at,
-            lambda balancer, box: box not in self.traded.values() or (balancer, box) in self._placed,
+            self.exemptions,
+            self._closed_spans_of,
+            lambda balancer, box: box not in self.relocated_boxes.values() or (balancer, box) in self._relocations_read,
         )
         self.timeline: list[str] = []
         self.covered: Counter[tuple[str, str]] = Counter()
-        self._traced = traced
+        self._trace_enabled = trace_enabled
         self.rng = random.Random(f"{script.seed}/stage")
-        self._events: Counter[str] = Counter()
-        self._waiting: dict[tuple[str, int], list[Fault]] = {}
-        self.busy_boxes: set[int] = set()
-        self.traded: dict[int, int] = {}  # boxes that came up at another's old address, by their upstreams' numbers
-        self._placed: set[tuple[int, int]] = set()  # balancers that have read of such a box where it is
-        self.said: dict[int, tuple[str, int]] = {}
+        self._event_counts: Counter[str] = Counter()
+        self._pending_faults: dict[tuple[str, int], list[Fault]] = {}
+        self.boxes_in_transition: set[int] = set()
+        self.relocated_boxes: dict[
+            int, int
+        ] = {}  # boxes that came up at another's old address, by their upstreams' numbers
+        self._relocations_read: set[tuple[int, int]] = set()  # balancers that have read of such a box where it is
+        self.last_notices: dict[int, tuple[str, int]] = {}
         self.balancers: list[RestartableBalancer] = []
-        self.kit = self.world.process("kit", 1_000_000)
-        self.boxes_process = self.world.process("boxes", 1_000_000)
-        self.kit.judged = self.boxes_process.judged = True  # books are kept there alone
+        self.kit = self.world.add_process("kit", 1_000_000)
+        self.boxes_process = self.world.add_process("boxes", 1_000_000)
+        self.kit.check_after_step = self.boxes_process.check_after_step = True  # books are kept there alone
         self.addresses: list[list[Address]] = []
         self._relay: Relay | None = None
         self.front: Front | None = None
@@ -143,9 +159,9 @@
             **ClientFaults(self).by_name,
             **DiscoveryFaults(self).by_name,
         }
-        self.world.told = self._told
-        self.world.after_step = self.judge.look
-        self.world.ended = self._ended
+        self.world.on_arrival = self._on_arrival
+        self.world.after_step = self.checker.check
+        self.world.on_process_end = self._check_ended_process
 
     def _number_asks(self) -> None:
         """Requests name their asks by number: it is their place in the list."""
@@ -153,7 +169,7 @@
 
     def now(self) -> int:
         """Nanoseconds since the first moment of the run."""
-        return self.world.agenda.now_ns - ZERO_NS
+        return self.world.event_queue.now_ns - RUN_START_NS
 
     # -- the whole run --
 
@@ -161,29 +177,29 @@
         """From the first socket to the last; the violations found are in the result."""
         try:
             self.kit.run(self._open())
-            self._until(lambda: self.kit.main is not None and self.kit.main.done(), ZERO_NS)
+            self._run_until(lambda: self.kit.main is not None and self.kit.main.done(), RUN_START_NS)
             if self.callers is None:
-                self._blame("crash", f"the world did not come up: {self.kit.faults}")
+                self._report_violation("crash", f"the world did not come up: {self.kit.errors}")
             else:
                 self._play()
-            self.judge.finish(herds=self.script.storm)
+            self.checker.finish(check_retry_herds=self.script.storm)
         finally:
             self.world.close()
         for process in self.world.processes:
-            for fault in process.faults:
-                self._blame("crash", f"{process.name}: {fault}")
-        for part in (self.books.tries, self.boxes_books.attempts, self.books.told, self.judge.violations):
+            for fault in process.errors:
+                self._report_violation("crash", f"{process.name}: {fault}")
+        for part in (self.books.tries, self.box_books.attempts, self.books.told, self.checker.violations):
             self.world.note(part)
-        found = figures(self.plan, self.boxes_books, self.books)
+        found = figures(self.plan, self.box_books, self.books)
         return Result(
             self.script,
-            self.judge.violations,
+            self.checker.violations,
             self.world.digest(),
-            self.drawn,
+            self.drawn_ask_count,
             found,
             self.plan,
             self.books,
-            self.boxes_books,
+            self.box_books,
             self.world.steps,
             self.now() / SECOND,
             self.covered,
@@ -193,42 +209,51 @@
     def _play(self) -> None:
         for fault in self.script.faults:
             if fault.on:
-                self._waiting.setdefault((fault.on, fault.nth), []).append(fault)
+                self._pending_faults.setdefault((fault.on, fault.nth), []).append(fault)
             else:
-                self.world.agenda.at(ZERO_NS + int(fault.at_ms * MS), lambda f=fault: self._do(f, "time", None))  # type: ignore[misc]
+                self.world.event_queue.call_at(
+                    RUN_START_NS + int(fault.at_ms * MS),
+                    lambda f=fault: self._inject(f, "time", None),  # type: ignore[misc]
+                )
         for happening in self.plan.happenings:
-            if happening.what in PLANNED:
-                self.world.agenda.at(ZERO_NS + happening.at_ns, lambda h=happening: self._planned(h))  # type: ignore[misc]
+            if happening.what in PLANNED_BOX_CHANGES:
+                self.world.event_queue.call_at(
+                    RUN_START_NS + happening.at_ns,
+                    lambda h=happening: self._apply_happening(h),  # type: ignore[misc]
+                )
         for notice in self.plan.notices:
-            self.world.agenda.at(ZERO_NS + notice.at_ns, lambda n=notice: self.tell(n.box, n.health, n.born_ns))  # type: ignore[misc]
+            self.world.event_queue.call_at(
+                RUN_START_NS + notice.at_ns,
+                lambda n=notice: self.tell(n.box, n.health, n.born_ns),  # type: ignore[misc]
+            )
         callers = self.callers
         assert callers is not None
         last = self.plan.asks[-1].at_ns if self.plan.asks else 0
-        self._until(lambda: False, ZERO_NS + last + AFTER_LAST_NS)
-        self._waiting.clear()  # nothing goes wrong any more
-        self.run_in(self.kit, callers.close)
-        self._until(lambda: False, self.world.agenda.now_ns + QUIET_NS)
-        self._check_rest()
+        self._run_until(lambda: False, RUN_START_NS + last + SETTLE_NS)
+        self._pending_faults.clear()  # nothing goes wrong any more
+        self.call_in(self.kit, callers.close)
+        self._run_until(lambda: False, self.world.event_queue.now_ns + IDLE_NS)
+        self._check_idle_balancers()
         for balancer in self.balancers:
-            if balancer.process is not None and not balancer.ending:
-                balancer.ending = True
+            if balancer.process is not None and not balancer.stopping:
+                balancer.stopping = True
                 balancer.process.signal(signal.SIGTERM)
-        gone = self._until(
+        gone = self._run_until(
             lambda: all(s.process is None or not s.process.alive for s in self.balancers),
-            self.world.agenda.now_ns + LEAVE_NS,
+            self.world.event_queue.now_ns + SHUTDOWN_NS,
         )
         if not gone:
-            self._blame("end", "a balancer did not end by its drain")
+            self._report_violation("end", "a balancer did not end by its drain")
         if self.boxes is not None:
             self.boxes.end()
 
-    def _until(self, true: Callable[[], bool], end_ns: int) -> bool:
-        return self.world.run(true, end_ns)
+    def _run_until(self, condition: Callable[[], bool], end_ns: int) -> bool:
+        return self.world.run(condition, end_ns)
 
-    def _blame(self, rule: str, what: str) -> None:
-        self.judge.accuse(rule, self.now(), what)
+    def _report_violation(self, rule: str, what: str) -> None:
+        self.checker.report_violation(rule, self.now(), what)
 
-    def run_in(self, process: Process, do: Callable[..., object], *args: object) -> None:
+    def call_in(self, process: Process, do: Callable[..., object], *args: object) -> None:
         """Have a process do it in its next turn."""
         process.loop.call_soon(do, *args)
 
@@ -244,26 +269,26 @@
         ]
         network = self.world.network
         for b, place in enumerate(places):
-            network.places[place.listen], network.places[place.peer_listen] = ("client", b), ("peer", b)
+            network.targets[place.listen], network.targets[place.peer_listen] = ("client", b), ("peer", b)
         self._relay = Relay(self.plan.scenario.network, [p.peer_listen for p in places], self.plan.seed)
         peers, everyone = await self._relay.open("127.0.201.1")
         for owner, row in enumerate(peers):
             for address in (*row, everyone[owner]):
-                network.places.setdefault(address, ("peer", owner))
-        new_agent = self._source()
+                network.targets.setdefault(address, ("peer", owner))
+        new_agent = self._agent_factory()
         for b, place in enumerate(places):
             agent = new_agent(b)
             place.discovery = await agent.open(f"127.0.202.{b + 1}")
-            network.places[place.discovery] = ("list", b)
+            network.targets[place.discovery] = ("list", b)
             place.peers, place.peers_all = peers[b], everyone[b]
             for box in self.plan.first:
-                self.said[box] = ("up", 0)
+                self.last_notices[box] = ("up", 0)
                 agent.tell(self.plan.boxes[box], self.addresses[box][b], Notice(0, box, "up", 0), True)
             self.balancers.append(RestartableBalancer(b, place, agent, settings(self.plan, b)))
         for balancer in self.balancers:
             self.start(balancer)
         self.front = Front([room_of(fleet, b) for b in range(fleet.balancers)], [p.listen for p in places])
-        self.callers = Callers(self.plan, self.front, self.books, ZERO_NS, WAIT_NS)
+        self.callers = Callers(self.plan, self.front, self.books, RUN_START_NS, CALLER_WAIT_NS)
         self.callers.begin()
         await self.callers.done.wait()
         await asyncio.sleep(3600)  # the kit's process stays until the world ends
@@ -273,17 +298,25 @@
         asks = {name: ask for ask in self.plan.asks for name in ask.ids}
         make = cast(Any, process.socket)
         world = BoxWorld(
-            process.loop, self.plan, NoLooks(), self.boxes_books, ZERO_NS, asks, self._fell, ExactSight(process), make
+            process.loop,
+            self.plan,
+            NoPollTimes(),
+            self.box_books,
+            RUN_START_NS,
+            asks,
+            self._box_fell_over,
+            ExactConnectionTimes(process),
+            make,
         )
         self.addresses = reserve(self.plan, "127.0", make)
         for slot, row in enumerate(self.addresses):
-            self.world.network.places.update({address: ("box", slot) for address in row})
+            self.world.network.targets.update({address: ("box", slot) for address in row})
         self.boxes = Boxes(world, self.addresses)
-        self.run_in(process, self.boxes.open)
-        self.run_in(process, self.boxes.begin, False)
+        self.call_in(process, self.boxes.open)
+        self.call_in(process, self.boxes.begin, False)
 
-    def _source(self) -> Callable[[int], ListAgent]:
-        wall_ms = (ZERO_NS + self.kit.wall_offset_ns) // MS
+    def _agent_factory(self) -> Callable[[int], ListAgent]:
+        wall_ms = (RUN_START_NS + self.kit.wall_offset_ns) // MS
         if self.plan.scenario.discovery.source == "agent":
             return lambda number: Agent(number, self.now, wall_ms, self.books.told)
         from lanemux.rehearsal.etcd.agent import EtcdAgent
@@ -301,41 +334,47 @@
     def start(self, balancer: RestartableBalancer) -> None:
         """A balancer's process comes up, with the list as its agent has it."""
         balancer.starts += 1
-        balancer.ending = False
+        balancer.stopping = False
         disk = balancer.process.disk if balancer.process is not None else None
-        process = self.world.process(f"n{balancer.number}", self.sockets)
-        places = max(LEAST_PLACES, (self.sockets - SPARE_SOCKETS) // 2)  # the other half are for connections to boxes
-        self.excuses.crowd(balancer.number, False, self.now())
+        process = self.world.add_process(f"n{balancer.number}", self.descriptor_limit)
+        places = max(
+            MIN_CLIENT_CONNECTIONS, (self.descriptor_limit - RESERVED_DESCRIPTORS) // 2
+        )  # the other half are for connections to boxes
+        self.exemptions.set_at_connection_limit(balancer.number, False, self.now())
 
-        def entered(accepted: int) -> None:
+        def on_accepted_change(accepted: int) -> None:
             if process is balancer.process:
-                self.excuses.crowd(balancer.number, accepted >= places, self.now())
+                self.exemptions.set_at_connection_limit(balancer.number, accepted >= places, self.now())
 
-        process.entered = entered
+        process.on_accepted_change = on_accepted_change
         if disk is not None:
             process.disk = disk
             disk.unreadable = False  # a start waits for its disk
         balancer.process, balancer.node = process, None
         self.write_configuration(balancer)
 
-        def module(told: api.Settings, seed: int, now: int) -> Observed:
-            balancer.module = Observed(told, seed, now, self._wrap_module, accuse, excused, listed, sending)
-            return balancer.module
+        def module(told: api.Settings, seed: int, now: int) -> ModuleMonitor:
+            balancer.monitor = ModuleMonitor(
+                told, seed, now, self._wrap_module, report_violation, was_exempt, on_list_update, on_send
+            )
+            return balancer.monitor
 
-        def accuse(rule: str, what: str) -> None:
+        def report_violation(rule: str, what: str) -> None:
             if process.alive:  # what is cleared away behind a killed one is nobody's fault
-                self._blame(rule, what)
+                self._report_violation(rule, what)
 
-        def sending() -> None:
-            if process.lurch_ns and process.lurch_decided:
-                process.lurch()
+        def on_send() -> None:
+            if process.pending_pause_ns and process.pause_before_send:
+                process.pause_mid_turn()
 
-        def listed(now: int, update: api.ListUpdate) -> None:
+        def on_list_update(now: int, update: api.ListUpdate) -> None:
             if process.alive:
-                self._listed(balancer.number, now - ZERO_NS, update)
+                self._on_list_update(balancer.number, now - RUN_START_NS, update)
 
-        def excused(due: int, at: int) -> bool:
-            return self.excuses.late_ns(balancer.number, due - ZERO_NS - OVER_NS, at - ZERO_NS) > 0
+        def was_exempt(due: int, at: int) -> bool:
+            return (
+                self.exemptions.exempt_ns(balancer.number, due - RUN_START_NS - TIMEOUT_GRACE_NS, at - RUN_START_NS) > 0
+            )
 
         def up(node: Node) -> None:
             balancer.node = node
@@ -347,27 +386,27 @@
 
         process.run(serving())
 
-    def _listed(self, balancer: int, now: int, update: api.ListUpdate) -> None:
+    def _on_list_update(self, balancer: int, now: int, update: api.ListUpdate) -> None:
         """A balancer has read news: from now on nothing new goes to what drains or is gone."""
-        spans = self.closed.setdefault(balancer, {})
+        spans = self.closed_spans.setdefault(balancer, {})
         whole = update.kind in (api.ListKind.FULL, api.ListKind.CACHED)
         ready = {u.id for u in update.upstreams if u.state is api.State.READY}
         for number in spans if whole else ():
             if number not in ready:
-                self.judge.close(spans[number], now)
+                self.checker.close_span(spans[number], now)
         for upstream in update.upstreams:
             span = spans.setdefault(upstream.id, [])
             if upstream.state is api.State.READY:
-                self.judge.reopen(span, now)
-                if (box := self.traded.get(upstream.id)) is not None:
-                    self._placed.add((balancer, box))
+                self.checker.reopen_span(span, now)
+                if (box := self.relocated_boxes.get(upstream.id)) is not None:
+                    self._relocations_read.add((balancer, box))
             else:
-                self.judge.close(span, now)
+                self.checker.close_span(span, now)
 
-    def _closed_at(self, balancer: int, box: int) -> list[list[int]]:
-        if box in self.traded.values():
+    def _closed_spans_of(self, balancer: int, box: int) -> list[list[int]]:
+        if box in self.relocated_boxes.values():
             return []  # it is reached where a balancer still believes another one, until it reads better
-        return self.closed.get(balancer, {}).get(self.ids.id_of(self.plan.boxes[box].host), [])
+        return self.closed_spans.get(balancer, {}).get(self.host_ids.id_of(self.plan.boxes[box].host), [])
 
     def _make_source(self, balancer: RestartableBalancer, process: Process) -> SourceFactory | None:
         if self.plan.scenario.discovery.source == "agent":
@@ -385,110 +424,115 @@
             f"{self.plan.seed:x}-{balancer.number}-{balancer.starts}",
             balancer.agent.listing(),
             balancer.settings,
-            self.sockets,
+            self.descriptor_limit,
         )
         balancer.process.disk.write(CONFIGURATION, json.dumps(told).encode())
 
     # -- at the end --
 
-    def _check_rest(self) -> None:
+    def _check_idle_balancers(self) -> None:
         """Nothing of any request is left at a balancer that has nothing to do."""
         for balancer in self.balancers:
             if (
                 balancer.process is None
                 or not balancer.process.alive
                 or balancer.node is None
-                or balancer.module is None
+                or balancer.monitor is None
             ):
                 continue
-            if balancer.process.still_until_ns > self.world.agenda.now_ns + SECOND:
+            if balancer.process.paused_until_ns > self.world.event_queue.now_ns + SECOND:
                 continue
-            self._check_list(balancer, balancer.node)
-            if left := leftovers.held_at(balancer.node, balancer.module):
-                self._blame("left", f"balancer {balancer.number} at rest still holds {left}")
+            self._check_believed_health(balancer, balancer.node)
+            if left := leftovers.requests_held_by(balancer.node, balancer.monitor):
+                self._report_violation("left", f"balancer {balancer.number} at rest still holds {left}")
 
-    def _check_list(self, balancer: RestartableBalancer, node: Node) -> None:
+    def _check_believed_health(self, balancer: RestartableBalancer, node: Node) -> None:
         """What the balancer believes of each box is what it was told last."""
-        hosts = [self.plan.boxes[box].host for box in self.said]
+        hosts = [self.plan.boxes[box].host for box in self.last_notices]
         told = {
-            host: health for host, (health, _) in zip(hosts, self.said.values(), strict=True) if health != "removed"
+            host: health
+            for host, (health, _) in zip(hosts, self.last_notices.values(), strict=True)
+            if health != "removed"
         }
-        believed = leftovers.believed_by(node)
+        believed = leftovers.health_believed_by(node)
         if told != believed:
-            self._blame("list", f"balancer {balancer.number} believes {believed}, told was {told}")
+            self._report_violation("list", f"balancer {balancer.number} believes {believed}, told was {told}")
 
-    def _ended(self, process: Process) -> None:
+    def _check_ended_process(self, process: Process) -> None:
         """A process has come to its end by itself: it must leave nothing."""
         if process.name in ("kit", "boxes"):
             return
-        if left := leftovers.left_by(process):
-            self._blame("left", left)
+        if left := leftovers.resources_left_by(process):
+            self._report_violation("left", left)
 
     # -- faults --
 
-    def _told(self, kind: str, what: str, label: Label, about: object) -> None:
+    def _on_arrival(self, kind: str, what: str, label: Label, about: object) -> None:
         """Something has arrived somewhere."""
         event = f"{kind} {what}"
-        self._events[event] += 1
-        if self._traced:
+        self._event_counts[event] += 1
+        if self._trace_enabled:
             size = len(about) if isinstance(about, bytes) else len(about[1].data) if isinstance(about, tuple) else 0
-            first = about[1].data[:FIRST_BYTES].split(b"\r\n")[0] if isinstance(about, tuple) else b""
+            first = about[1].data[:TIMELINE_BYTES].split(b"\r\n")[0] if isinstance(about, tuple) else b""
             self.trace(
-                f"{label.opener} > {kind} {label.to}",
-                f"{what} #{self._events[event]} {size} bytes {ascii(first)[2:-1]}",
+                f"{label.opener} > {kind} {label.target}",
+                f"{what} #{self._event_counts[event]} {size} bytes {ascii(first)[2:-1]}",
+            )
+        for fault in self._pending_faults.pop((event, self._event_counts[event]), ()):
+            self.world.event_queue.call_after(
+                fault.lag_us * 1000,
+                lambda f=fault: self._inject(f, event, (label, about)),  # type: ignore[misc]
             )
-        for fault in self._waiting.pop((event, self._events[event]), ()):
-            self.world.agenda.after(fault.lag_us * 1000, lambda f=fault: self._do(f, event, (label, about)))  # type: ignore[misc]
 
     def trace(self, who: str, what: str) -> None:
         """A line of the timeline, where one is kept."""
-        if self._traced:
+        if self._trace_enabled:
             self.timeline.append(f"{self.now() / 1e9:12.6f}  {who:<22} {what}")
 
-    def _do(self, fault: Fault, event: str, about: tuple[Label, object] | None) -> None:
+    def _inject(self, fault: Fault, event: str, about: tuple[Label, object] | None) -> None:
         """A fault strikes."""
         balancers, boxes = len(self.balancers), self.plan.scenario.fleet.boxes
         who = fault.who
-        if who == ABOUT_EVENT:
+        if who == EVENT_TARGET:
             label = about[0] if about is not None else None
-            who = label.to if label is not None else 0
+            who = label.target if label is not None else 0
         self.covered[fault.what, event] += 1
         self.world.note("fault", fault.what, who)
         self.trace("fault", f"{fault.what} {who} for {fault.for_ms} ms")
-        lasts_ns = int(fault.for_ms * MS)
+        duration_ns = int(fault.for_ms * MS)
         told = about[1] if about is not None else None
-        if fault.what in BOXES:
-            self._box_faults.by_name[fault.what](who % boxes, lasts_ns, told)
+        if fault.what in BOX_FAULTS:
+            self._box_faults.by_name[fault.what](who % boxes, duration_ns, told)
         else:
-            self._balancer_faults[fault.what](self.balancers[who % balancers], lasts_ns, told)
+            self._balancer_faults[fault.what](self.balancers[who % balancers], duration_ns, told)
 
-    def later(self, wait_ns: int, do: Callable[[], None]) -> None:
+    def call_later(self, delay_ns: int, do: Callable[[], None]) -> None:
         """Do it after so long on the virtual clock."""
-        self.world.agenda.after(wait_ns, do)
+        self.world.event_queue.call_after(delay_ns, do)
 
     # -- what faults do to boxes --
 
     def tell(self, box: int, health: str, born_ns: int = 0) -> None:
         """Discovery has news: all agents know it at once."""
-        self.said[box] = (health, born_ns)
+        self.last_notices[box] = (health, born_ns)
         self.trace("discovery", f"box {box} is {health}")
-        self.run_in(self.kit, self._spread, box, health, born_ns)
+        self.call_in(self.kit, self._tell_agents, box, health, born_ns)
 
-    def _spread(self, box: int, health: str, born_ns: int) -> None:
+    def _tell_agents(self, box: int, health: str, born_ns: int) -> None:
         row, slot = self.plan.boxes[box], self.plan.boxes[box].slot
         for balancer in self.balancers:
             balancer.agent.tell(row, self.addresses[slot][balancer.number], Notice(self.now(), box, health, born_ns))
 
-    def happen(self, what: str, box: int, until_ns: int = 0) -> None:
+    def change_box(self, what: str, box: int, until_ns: int = 0) -> None:
         """A change in the life of a box, now."""
-        self._planned(Happening(self.now(), what, box, until_ns))
+        self._apply_happening(Happening(self.now(), what, box, until_ns))
 
-    def _planned(self, happening: Happening) -> None:
+    def _apply_happening(self, happening: Happening) -> None:
         assert self.boxes is not None
         self.trace(f"box {happening.who}", happening.what)
-        self.run_in(self.boxes_process, self.boxes.happen, happening)
+        self.call_in(self.boxes_process, self.boxes.happen, happening)
 
-    def _fell(self, box: int, at_ns: int) -> None:
+    def _box_fell_over(self, box: int, at_ns: int) -> None:
         self.trace(f"box {box}", "falls over")
 
     # -- balancers --
@@ -499,7 +543,7 @@
 
 
 @contextmanager
-def quiet() -> Iterator[None]:
+def no_logging_or_gc() -> Iterator[None]:
     """No log and no garbage collection while a run lasts: both would cost most of its time."""
     before = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
@@ -513,9 +557,12 @@
 
 
 def play(
-    script: Script, traced: bool = False, setup: WorldSetup | None = None, wrap_module: ModuleWrapper | None = None
+    script: Script,
+    trace_enabled: bool = False,
+    setup: WorldSetup | None = None,
+    wrap_module: ModuleWrapper | None = None,
 ) -> Result:
     """Play a script on a virtual clock; `setup`: in this setting, and not in that of its seed; `wrap_module`: with this
     round the decisions."""
-    with quiet():
-        return Simulation(script, traced, setup, wrap_module).play()
+    with no_logging_or_gc():
+        return Simulation(script, trace_enabled, setup, wrap_module).play()
--- a/lanemux/virtual/sockets.py
+++ b/lanemux/virtual/sockets.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, cast
 
-from lanemux.virtual.network import Address, End, Mailbox, Queue
+from lanemux.virtual.network import Address, Endpoint, ListenQueue, Mailbox
 
 if TYPE_CHECKING:
     from lanemux.virtual.process import Process
@@ -18,7 +18,7 @@
 HOST = "127.0.0.1"
 
 
-def failure(number: int) -> OSError:
+def os_error(number: int) -> OSError:
     return OSError(number, os.strerror(number))
 
 
@@ -32,8 +32,8 @@
     def __init__(self, process: Process) -> None:
         self.process = process
         self._network = process.world.network
-        self._fileno = process.adopt(self)
-        self._own: Address = (HOST, 0)
+        self._fileno = process.register_socket(self)
+        self._local_address: Address = (HOST, 0)
         self._closed = False
 
     def fileno(self) -> int:
@@ -46,10 +46,10 @@
         return 0.0
 
     def getsockname(self) -> Address:
-        return self._own
+        return self._local_address
 
     def getpeername(self) -> Address:
-        raise failure(errno.ENOTCONN)
+        raise os_error(errno.ENOTCONN)
 
     def setsockopt(self, level: int, option: int, value: object) -> None:
         """Without effect, unless a kind of socket says otherwise."""
@@ -58,7 +58,7 @@
         return 0
 
     def bind(self, address: Address) -> None:
-        self._own = (address[0], address[1] or self._network.free_port())
+        self._local_address = (address[0], address[1] or self._network.ephemeral_port())
 
     @property
     def readable(self) -> bool:
@@ -68,62 +68,64 @@
     def writable(self) -> bool:
         return False
 
-    def _poke(self) -> None:
-        self.process.poke(self._fileno)
+    def _notify(self) -> None:
+        self.process.notify(self._fileno)
 
     def close(self) -> None:
         if not self._closed:
             self._closed = True
             self.process.release(self._fileno)
-            self._end()
+            self._release()
 
-    def _end(self) -> None:
+    def _release(self) -> None:
         raise NotImplementedError
 
 
 class StreamSocket(VirtualSocket):
     """A stream's socket: bound and listening, coming up, or connected."""
 
-    def __init__(self, process: Process, end: End | None = None) -> None:
+    def __init__(self, process: Process, endpoint: Endpoint | None = None) -> None:
         super().__init__(process)
-        self.end = end
-        self._queue: Queue | None = None
+        self.endpoint = endpoint
+        self._listen_queue: ListenQueue | None = None
         self._error = 0
-        self._call_off: Callable[[], None] = lambda: None
+        self._cancel_connect: Callable[[], None] = lambda: None
         self._linger: int | None = None
         self._accepted = False
-        self._peer: Address = (HOST, 0)
-        if end is not None:
-            end.changed = self._poke
+        self._remote_address: Address = (HOST, 0)
+        if endpoint is not None:
+            endpoint.on_change = self._notify
 
     # -- listening --
 
     def listen(self, backlog: int) -> None:
-        if self._queue is not None:
-            self._queue.backlog = backlog
+        if self._listen_queue is not None:
+            self._listen_queue.backlog = backlog
             return
-        if self._own in self._network.queues:
-            raise failure(errno.EADDRINUSE)
-        self._queue = self._network.queues[self._own] = Queue(self._own, backlog, self._poke)
+        if self._local_address in self._network.queues:
+            raise os_error(errno.EADDRINUSE)
+        self._listen_queue = self._network.queues[self._local_address] = ListenQueue(
+            self._local_address, backlog, self._notify
+        )
 
     def accept(self) -> tuple[StreamSocket, Address]:
-        if self._queue is None or not self._queue.waiting:
-            raise BlockingIOError(errno.EAGAIN, "nobody waits")
-        self.process.check_room()
-        end = self._queue.waiting.popleft()
-        accepted = StreamSocket(self.process, end)
-        accepted._own, accepted._accepted = self._own, True
-        self.process.took(1)
-        return accepted, accepted._peer
+        if self._listen_queue is None or not self._listen_queue.waiting:
+            raise BlockingIOError(errno.EAGAIN, "no pending connection")
+        self.process.check_descriptor_available()
+        endpoint = self._listen_queue.waiting.popleft()
+        accepted = StreamSocket(self.process, endpoint)
+        accepted._local_address, accepted._accepted = self._local_address, True
+        self.process.count_accepted(1)
+        return accepted, accepted._remote_address
 
     # -- connecting --
 
     def connect(self, address: Address) -> None:
         self.process.check_memory()
-        self._own = (HOST, self._network.free_port())
-        self._peer = address
-        self._call_off = self._network.connect(self.process.name, address, self._own, self._up)
-        raise BlockingIOError(errno.EINPROGRESS, "on the way")
+        self._local_address = (HOST, self._network.ephemeral_port())
+        self._remote_address = address
+        self._cancel_connect = self._network.connect(self.process.name, address, self._local_address, self._connected)
+        raise BlockingIOError(errno.EINPROGRESS, "connection in progress")
 
     def connect_ex(self, address: Address) -> int:
         try:
@@ -132,12 +134,12 @@
             return error.errno or 0
         return 0
 
-    def _up(self, end: End | None) -> None:
-        if end is None:
+    def _connected(self, endpoint: Endpoint | None) -> None:
+        if endpoint is None:
             self._error = errno.ECONNREFUSED
         else:
-            self.end, end.changed = end, self._poke
-        self._poke()
+            self.endpoint, endpoint.on_change = endpoint, self._notify
+        self._notify()
 
     def getsockopt(self, level: int, option: int) -> int:
         if (level, option) == (socket.SOL_SOCKET, socket.SO_ERROR):
@@ -151,28 +153,28 @@
             self._linger = seconds if on else None
 
     def getpeername(self) -> Address:
-        if self.end is None:
-            raise failure(errno.ENOTCONN)
-        return self._peer
+        if self.endpoint is None:
+            raise os_error(errno.ENOTCONN)
+        return self._remote_address
 
     # -- connected --
 
     @property
     def readable(self) -> bool:
-        if self._queue is not None:
-            return bool(self._queue.waiting)
-        return bool(self._error) or (self.end is not None and self.end.readable)
+        if self._listen_queue is not None:
+            return bool(self._listen_queue.waiting)
+        return bool(self._error) or (self.endpoint is not None and self.endpoint.readable)
 
     @property
     def writable(self) -> bool:
-        return bool(self._error) or (self.end is not None and self.end.writable)
+        return bool(self._error) or (self.endpoint is not None and self.endpoint.writable)
 
-    def recv(self, most: int) -> bytes:
-        if self.end is None:
-            raise failure(errno.ENOTCONN)
-        data = self.end.read(most)
+    def recv(self, max_bytes: int) -> bytes:
+        if self.endpoint is None:
+            raise os_error(errno.ENOTCONN)
+        data = self.endpoint.read(max_bytes)
         if data is None:
-            raise BlockingIOError(errno.EAGAIN, "nothing yet")
+            raise BlockingIOError(errno.EAGAIN, "no data available")
         return data
 
     def recv_into(self, buffer: memoryview) -> int:
@@ -181,29 +183,29 @@
         return len(data)
 
     def send(self, data: bytes | bytearray | memoryview) -> int:
-        if self.end is None:
-            raise failure(errno.ENOTCONN)
+        if self.endpoint is None:
+            raise os_error(errno.ENOTCONN)
         with memoryview(data) as view:  # what finds no room is not copied, and the buffer is free again at once
-            taken = self.end.write(view)
+            taken = self.endpoint.write(view)
         if not taken and data:
-            raise BlockingIOError(errno.EAGAIN, "no room")
+            raise BlockingIOError(errno.EAGAIN, "send buffer full")
         return taken
 
     def shutdown(self, how: int) -> None:
-        if self.end is None or self.end.broken:
-            raise failure(errno.ENOTCONN)
+        if self.endpoint is None or self.endpoint.was_reset:
+            raise os_error(errno.ENOTCONN)
         if how != socket.SHUT_RD:
-            self.end.end_writing()
-
-    def _end(self) -> None:
-        self._call_off()
-        if self._queue is not None:
-            del self._network.queues[self._own]
-            self._queue.close()
-        if self.end is not None:
-            self.end.close(reset=self._linger == 0)
+            self.endpoint.shutdown_write()
+
+    def _release(self) -> None:
+        self._cancel_connect()
+        if self._listen_queue is not None:
+            del self._network.queues[self._local_address]
+            self._listen_queue.close()
+        if self.endpoint is not None:
+            self.endpoint.close(reset=self._linger == 0)
         if self._accepted:
-            self.process.took(-1)
+            self.process.count_accepted(-1)
 
 
 class DatagramSocket(VirtualSocket):
@@ -218,9 +220,9 @@
 
     def bind(self, address: Address) -> None:
         super().bind(address)
-        if self._own in self._network.mailboxes:
-            raise failure(errno.EADDRINUSE)
-        self._mailbox = self._network.mailboxes[self._own] = Mailbox(self._own, self._poke)
+        if self._local_address in self._network.mailboxes:
+            raise os_error(errno.EADDRINUSE)
+        self._mailbox = self._network.mailboxes[self._local_address] = Mailbox(self._local_address, self._notify)
 
     @property
     def readable(self) -> bool:
@@ -230,17 +232,17 @@
     def writable(self) -> bool:
         return True
 
-    def recvfrom(self, most: int) -> tuple[bytes, Address]:
+    def recvfrom(self, max_bytes: int) -> tuple[bytes, Address]:
         if self._mailbox is None or not self._mailbox.waiting:
-            raise BlockingIOError(errno.EAGAIN, "nothing yet")
+            raise BlockingIOError(errno.EAGAIN, "no data available")
         data, sender = self._mailbox.waiting.popleft()
-        return data[:most], sender
+        return data[:max_bytes], sender
 
     def sendto(self, data: bytes, address: Address) -> int:
         self.process.check_memory()
-        self._network.send(bytes(data), self._own, address)
+        self._network.send(bytes(data), self._local_address, address)
         return len(data)
 
-    def _end(self) -> None:
+    def _release(self) -> None:
         if self._mailbox is not None:
-            del self._network.mailboxes[self._own]
+            del self._network.mailboxes[self._local_address]
--- a/lanemux/virtual/world.py
+++ b/lanemux/virtual/world.py
@@ -11,84 +11,84 @@
 from lanemux.virtual.network import Label, LinkConditions, Network
 from lanemux.virtual.process import Process
 
-SPIN = 200_000  # steps in one instant: more is a loop without end
+MAX_STEPS_PER_INSTANT = 200_000  # steps in one instant: more is a loop without end
 
 
-class Spinning(Exception):
+class ClockStuck(Exception):
     """The clock stands still while steps go on."""
 
 
 class World:
     """Everything that happens, from one seed."""
 
-    def __init__(self, seed: str, weather: dict[str, LinkConditions]) -> None:
+    def __init__(self, seed: str, links: dict[str, LinkConditions]) -> None:
         self.rng = random.Random(seed)
-        self.agenda = EventQueue(self.rng)
-        self.network = Network(self.agenda, self.rng, weather, self._seen)
+        self.event_queue = EventQueue(self.rng)
+        self.network = Network(self.event_queue, self.rng, links, self._arrived)
         self.processes: list[Process] = []
-        self.busy_ns = 0  # a turn of a loop keeps its process busy for up to so long
+        self.max_step_ns = 0  # a turn of a loop keeps its process busy for up to so long
         self.steps = 0
-        self.told: Callable[[str, str, Label, object], None] = lambda kind, what, label, about: None
+        self.on_arrival: Callable[[str, str, Label, object], None] = lambda kind, what, label, about: None
         self.after_step: Callable[[], None] = lambda: None
-        self.ended: Callable[[Process], None] = lambda process: None
-        self._history = hashlib.blake2b(digest_size=16)
+        self.on_process_end: Callable[[Process], None] = lambda process: None
+        self._history_hash = hashlib.blake2b(digest_size=16)
 
-    def process(self, name: str, descriptors: int = 1024) -> Process:
-        made = Process(self, name, descriptors)
-        self.processes.append(made)
-        return made
+    def add_process(self, name: str, descriptors: int = 1024) -> Process:
+        process = Process(self, name, descriptors)
+        self.processes.append(process)
+        return process
 
     def note(self, *what: object) -> None:
         """Part of the history: runs of a seed are alike if their histories are."""
-        self._history.update(repr((self.agenda.now_ns, *what)).encode())
+        self._history_hash.update(repr((self.event_queue.now_ns, *what)).encode())
 
     def digest(self) -> str:
-        return self._history.hexdigest()
+        return self._history_hash.hexdigest()
 
-    def _seen(self, kind: str, what: str, label: Label, about: object) -> None:
+    def _arrived(self, kind: str, what: str, label: Label, about: object) -> None:
         data = about if isinstance(about, bytes) else about[1].data if isinstance(about, tuple) else b""
-        self.note(kind, what, label.opener, label.to, data)
-        self.told(kind, what, label, about)
+        self.note(kind, what, label.opener, label.target, data)
+        self.on_arrival(kind, what, label, about)
 
     def run(self, until: Callable[[], bool], end_ns: int) -> bool:
         """Step on until that is so; False if the time is up first."""
-        spun, agenda = 0, self.agenda
+        steps_at_instant, event_queue = 0, self.event_queue
         while not until():
-            now = agenda.now_ns
-            next_ns = agenda.next_ns()
+            now = event_queue.now_ns
+            next_ns = event_queue.next_ns()
             for process in self.processes:
                 due = process.next_ns()
                 if due < next_ns:
                     next_ns = due
             if next_ns > now:
                 if next_ns > end_ns or next_ns >= NEVER:
-                    agenda.now_ns = max(now, end_ns)
+                    event_queue.now_ns = max(now, end_ns)
                     return False
-                agenda.now_ns, spun = next_ns, 0
-            spun += 1
-            if spun > SPIN:
-                raise Spinning(f"at {agenda.now_ns} ns")
+                event_queue.now_ns, steps_at_instant = next_ns, 0
+            steps_at_instant += 1
+            if steps_at_instant > MAX_STEPS_PER_INSTANT:
+                raise ClockStuck(f"at {event_queue.now_ns} ns")
             self._step()
         return True
 
     def _step(self) -> None:
-        now = self.agenda.now_ns
+        now = self.event_queue.now_ns
         choices: list[Process | None] = [p for p in self.processes if p.next_ns() <= now]
-        if self.agenda.next_ns() <= now:
+        if self.event_queue.next_ns() <= now:
             choices.append(None)
         chosen = choices[self.rng.randrange(len(choices))] if len(choices) > 1 else choices[0]
         self.steps += 1
         if chosen is None:
-            self.agenda.run_one()
+            self.event_queue.run_next()
             return
         chosen.step()
-        if self.busy_ns and chosen.alive:
-            chosen.stay_still(self.agenda.now_ns + self.rng.randrange(self.busy_ns))
-        if chosen.judged:
+        if self.max_step_ns and chosen.alive:
+            chosen.pause_until(self.event_queue.now_ns + self.rng.randrange(self.max_step_ns))
+        if chosen.check_after_step:
             self.after_step()
 
     def close(self) -> None:
         """The end: tasks and loops are cleared away."""
         for process in self.processes:
-            process.clear_away()
+            process.dispose()
         gc.unfreeze()  # etcd's source freezes what it has imported
--- a/tests/virtual/test_hard_cases.py
+++ b/tests/virtual/test_hard_cases.py
@@ -11,7 +11,7 @@
 from lanemux.virtual.simulation import Result, play
 
 SEEDS = (1, 2, 3, 4)  # 1, 3 and 4 follow etcd, 2 an agent
-AGENT, ETCD = 2, 3
+AGENT, ETCD_FAULTS = 2, 3
 MINUTES_NS = 180_000 * MS
 
 
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("lag_us", [0, 1000, 20_000])
 def test_history_is_compacted_while_a_burst_is_applied(lag_us: int) -> None:
     faults = (Fault("burst", who=0, at_ms=1000.0, for_ms=200.0), Fault("drain", who=0, at_ms=1050.0, for_ms=1500.0))
-    sound(Script(ETCD, (*faults, Fault("compact", who=0, at_ms=1050.0 + lag_us / 1000))))
+    sound(Script(ETCD_FAULTS, (*faults, Fault("compact", who=0, at_ms=1050.0 + lag_us / 1000))))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -82,13 +82,23 @@
 def test_messages_between_balancers_are_lost_doubled_and_minutes_late(seed: int) -> None:
     made = world_setup(seed)
     assert made.scenario.fleet.balancers > 1
-    weather = {**made.weather, "peer": LinkConditions(1000, 30 * MS, loss=0.4, twice=0.4, late=0.4, late_ns=MINUTES_NS)}
+    links = {
+        **made.links,
+        "peer": LinkConditions(
+            1000,
+            30 * MS,
+            loss_probability=0.4,
+            duplicate_probability=0.4,
+            delay_probability=0.4,
+            extra_delay_ns=MINUTES_NS,
+        ),
+    }
     result = play(
         Script(
             seed,
             (Fault("deaf", who=0, at_ms=1000.0, for_ms=1000.0), Fault("drain", who=0, at_ms=1500.0, for_ms=1500.0)),
         ),
-        setup=dataclasses.replace(made, weather=weather),
+        setup=dataclasses.replace(made, links=links),
     )
     assert result.violations == [] and result.figures.service > 0.2
 
--- a/tests/virtual/test_network.py
+++ b/tests/virtual/test_network.py
@@ -59,8 +59,8 @@
         self.log.append(f"{self.name}: may write again")
 
     def connection_lost(self, error: Exception | None) -> None:
-        said = "reset" if isinstance(error, ConnectionResetError | BrokenPipeError) else repr(error)
-        self.log.append(f"{self.name}: lost, {said}, after {len(self.data)}")
+        last_notices = "reset" if isinstance(error, ConnectionResetError | BrokenPipeError) else repr(error)
+        self.log.append(f"{self.name}: lost, {last_notices}, after {len(self.data)}")
         self.lost.set()
 
 
@@ -214,14 +214,14 @@
 )
 
 
-def virtually(scene: Scene, seed: int, weather: LinkConditions) -> list[str]:
-    world = World(str(seed), {"other": weather})
-    world.ended = lambda process: None
-    process = world.process("p")
+def virtually(scene: Scene, seed: int, links: LinkConditions) -> list[str]:
+    world = World(str(seed), {"other": links})
+    world.on_process_end = lambda process: None
+    process = world.add_process("p")
     main = process.run(scene())
     try:
-        assert world.run(main.done, world.agenda.now_ns + 10**11), "it never ended"
-        assert process.faults == [] and main.exception() is None
+        assert world.run(main.done, world.event_queue.now_ns + 10**11), "it never ended"
+        assert process.errors == [] and main.exception() is None
         return cast(list[str], main.result())
     finally:
         world.close()
@@ -232,10 +232,10 @@
     real = asyncio.run(asyncio.wait_for(scene(), 10))
     for seed in range(10):
         rng = random.Random(seed)
-        weather = LinkConditions(
+        links = LinkConditions(
             rng.choice((0, 50_000, 3_000_000)),
             rng.choice((0, 1_000_000)),
             rng.choice((0.0, 0.9)),
             rng.choice((4096, 65_536)),
         )
-        assert virtually(scene, seed, weather) == real
+        assert virtually(scene, seed, links) == real
--- a/tests/virtual/test_seeds.py
+++ b/tests/virtual/test_seeds.py
@@ -11,7 +11,7 @@
 
 from bench.simulate import ANOTHER_DAY
 from lanemux.virtual.command import run_seed, run_seeds
-from lanemux.virtual.script import FAULTS, STORM_ONLY, draw, world_setup
+from lanemux.virtual.script import FAULTS, STORM_ONLY_FAULTS, draw, world_setup
 from tests.virtual.planted import ROOT
 
 FIXED = range(1, 241)
@@ -25,7 +25,7 @@
     for p in played:
         for (what, _), count in p.covered.items():
             struck[what] += count
-    assert set(struck) == set(FAULTS) - set(STORM_ONLY), f"never struck: {set(FAULTS) - set(struck)}"
+    assert set(struck) == set(FAULTS) - set(STORM_ONLY_FAULTS), f"never struck: {set(FAULTS) - set(struck)}"
     assert sum(p.service for p in played) / len(played) > 0.5
 
 
--- a/tests/virtual/test_shrink.py
+++ b/tests/virtual/test_shrink.py
@@ -18,16 +18,16 @@
 
 
 def test_only_what_is_needed_is_left() -> None:
-    least, tries = shrink(Script(9, FAULTS), 100, needs)
-    assert [f.what for f in least.faults] == ["drain", "move"]
-    assert least.asks == (17, 63) and least.calm
-    assert all(f.for_ms == 300 and f.at_ms == round(f.at_ms) for f in least.faults)
-    assert needs(least) and tries < 100
+    smallest, runs = shrink(Script(9, FAULTS), 100, needs)
+    assert [f.what for f in smallest.faults] == ["drain", "move"]
+    assert smallest.asks == (17, 63) and smallest.calm
+    assert all(f.for_ms == 300 and f.at_ms == round(f.at_ms) for f in smallest.faults)
+    assert needs(smallest) and runs < 100
 
 
 def test_shrinking_stops_when_its_tries_are_spent() -> None:
-    least, tries = shrink(Script(9, FAULTS), 100, needs, most=5)
-    assert tries == 5 and needs(least)
+    smallest, runs = shrink(Script(9, FAULTS), 100, needs, max_runs=5)
+    assert runs == 5 and needs(smallest)
 
 
 def test_a_script_is_printed_as_a_test_that_can_be_pasted() -> None:
@@ -35,12 +35,12 @@
     text = as_test(script)
     found: dict[str, object] = {}
 
-    class Played:
+    class SeedResult:
         violations: list[str] = []
 
-    def play(given: Script) -> Played:
+    def play(given: Script) -> SeedResult:
         found["script"] = given
-        return Played()
+        return SeedResult()
 
     exec(text + "\ntest_seed_9()", {"play": play, "Script": Script, "Fault": Fault})
     assert found["script"] == script
--- a/tests/virtual/test_storms.py
+++ b/tests/virtual/test_storms.py
@@ -12,7 +12,7 @@
 from lanemux.rehearsal import scenario
 from lanemux.rehearsal.books import Try
 from lanemux.virtual.command import run_seeds
-from lanemux.virtual.rule_checker import HERD, herded
+from lanemux.virtual.rule_checker import HERD_SIZE, synchronized_retries
 from lanemux.virtual.script import Fault, Script, draw, world_setup
 from lanemux.virtual.simulation import play
 
@@ -34,11 +34,15 @@
 
 
 def test_the_judge_names_a_balancer_that_calls_all_back_in_one_instant() -> None:
-    herd = [refused(n * 1_000_000, 0.5) for n in range(HERD)]
-    spread = [refused(n * 1_000_000, 0.1 + 0.05 * (7 * n % HERD)) for n in range(HERD)]
-    slow = [refused(n * 20_000_000, 0.5) for n in range(HERD)]
-    assert [v.rule for v in herded([refused(0, 0.1, 1), *herd])] == ["herd"]
-    assert not list(herded(spread)) and not list(herded(slow)) and not list(herded(herd[1:]))
+    herd = [refused(n * 1_000_000, 0.5) for n in range(HERD_SIZE)]
+    spread = [refused(n * 1_000_000, 0.1 + 0.05 * (7 * n % HERD_SIZE)) for n in range(HERD_SIZE)]
+    slow = [refused(n * 20_000_000, 0.5) for n in range(HERD_SIZE)]
+    assert [v.rule for v in synchronized_retries([refused(0, 0.1, 1), *herd])] == ["herd"]
+    assert (
+        not list(synchronized_retries(spread))
+        and not list(synchronized_retries(slow))
+        and not list(synchronized_retries(herd[1:]))
+    )
 
 
 OUTAGE = Fault("outage", who=0, at_ms=800.0, for_ms=1500.0)
@@ -75,9 +79,9 @@
 def test_a_scenarios_own_outage_is_played_and_the_decisions_run_as_they_are_wrapped() -> None:
     asked: list[int] = []
 
-    def wrap_module(decides: Balancer, told: api.Settings, seed: int, now: int) -> Module:
+    def wrap_module(balancer_module: Balancer, told: api.Settings, seed: int, now: int) -> Module:
         asked.append(seed)
-        return decides
+        return balancer_module
 
     made = world_setup(4, storm=True)
     fleet = made.scenario.fleet
