--- a/lanemux/virtual/__init__.py
+++ b/lanemux/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer's real code on a virtual clock: an event loop, a network and a disk that a seed drives."""
+"""Deterministic simulation: runs the real balancer code on a virtual clock, event loop, network and disk."""
--- a/lanemux/virtual/balancer.py
+++ b/lanemux/virtual/balancer.py
@@ -1,4 +1,4 @@
-"""A balancer of a virtual run, over its restarts."""
+"""State of a simulated balancer that outlives its processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class RestartableBalancer:
-    """A balancer over its restarts."""
+    """A balancer and its current process, across restarts."""
 
     number: int
     place: Place
@@ -27,6 +27,6 @@
     monitor: ModuleMonitor | None = None
     starts: int = 0
     discovery_moves: int = 0
-    member_up_ns: int = 0  # its etcd member has come up again by then
+    member_up_ns: int = 0  # its etcd member is up again from then on
     stopping: bool = False
     downtime: Life | None = None
--- a/lanemux/virtual/command.py
+++ b/lanemux/virtual/command.py
@@ -1,4 +1,4 @@
-"""`python -m lanemux simulate`: seeds, replay of one, its timeline, exit status."""
+"""`python -m lanemux simulate`: runs seeds, replays one, writes its timeline and sets the exit status."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 PASSED, FAILED, USAGE_ERROR = 0, 1, 2
 DEFAULT_SEEDS = "1-200"
 MAX_SEEDS = 1_000_000
-MAX_SHRUNK_SEEDS = 3  # failing seeds of one call that are cut down; the others are only named
+MAX_SHRUNK_SEEDS = 3  # failing seeds that one call shrinks; the others are only listed
 ETCD_EXTRA_HINT = "they need the extra `etcd`: pip install '.[etcd]'"
-MAX_SHOWN_VIOLATIONS = 5  # violations of a seed that are told
+MAX_SHOWN_VIOLATIONS = 5  # violations printed for each seed
 
 
 @dataclass(slots=True)
 class SeedResult:
-    """What is kept of one seed's run."""
+    """Summary of one seed's run."""
 
     seed: int
     digest: str
@@ -42,7 +42,7 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Play seeds. 0: none failed; 1: some did; 2: bad use."""
+    """Run seeds. Exit status 0: none failed; 1: some failed; 2: invalid arguments."""
     options = _options(argv)
     if options.replay is not None:
         return _replay(options)
@@ -65,7 +65,7 @@
 
 
 def playable(seeds: range) -> tuple[Sequence[int], list[int]]:
-    """Those that can be played with what is installed, and those that can't."""
+    """Split seeds into those that run with the installed packages and those left out because they need etcd."""
     if installed("grpclib"):
         return seeds, []
     left_out = [seed for seed in seeds if needs_etcd(seed)]
@@ -83,7 +83,7 @@
 
 
 def run_seeds(seeds: Iterable[int], jobs: int, storm: bool = False) -> Generator[SeedResult, None, None]:
-    """Each seed's run, in the order of the seeds."""
+    """Run the seeds in `jobs` processes; results come in the order of the seeds."""
     run = run_storm if storm else run_seed
     if jobs == 1:
         yield from map(run, seeds)
@@ -93,12 +93,12 @@
 
 
 def run_storm(seed: int) -> SeedResult:
-    """One seed's storm as drawn."""
+    """Run a seed's storm script."""
     return run_seed(seed, storm=True)
 
 
 def run_seed(seed: int, storm: bool = False) -> SeedResult:
-    """One seed's run as drawn."""
+    """Run a seed's script."""
     result = play(draw(seed, storm))
     return SeedResult(
         seed,
@@ -112,7 +112,7 @@
 
 
 def digest_of(results: Iterable[SeedResult]) -> str:
-    """A hash over all histories."""
+    """A hash over the histories of all runs."""
     history_hash = hashlib.blake2b(digest_size=16)
     for p in results:
         history_hash.update(f"{p.seed} {p.digest}\n".encode())
@@ -160,7 +160,7 @@
 
 
 def _print_shrunk(seed: int, storm: bool = False, max_runs: int = MAX_RUNS) -> None:
-    """Print the least script that still fails as the seed does."""
+    """Shrink a failing seed's script and print the smallest one that still breaks one of the same rules."""
     result = play(draw(seed, storm))
     rules = {v.rule for v in result.violations}
 
@@ -189,7 +189,7 @@
 
 
 def timeline(result: Result) -> list[str]:
-    """What each party saw, in order of time."""
+    """Everything that the parties of a run observed, ordered by time."""
     lines = [(float(line.split()[0]), line) for line in result.timeline]
     for entry in result.books.tries:
         for at, what in (
@@ -203,13 +203,13 @@
             (attempt.end_ns, f"{attempt.how} {attempt.id[:8]}, open until {attempt.open_ns / 1e9:.6f}"),
         ):
             lines.append((at / 1e9, f"{at / 1e9:12.6f}  {'box ' + str(attempt.box):<22} {what}"))
-    for notice in result.books.told:
-        if notice.written_ns > 0:
-            at_s = notice.written_ns / 1e9
+    for news in result.books.told:
+        if news.written_ns > 0:
+            at_s = news.written_ns / 1e9
             lines.append(
                 (
                     at_s,
-                    f"{at_s:12.6f}  {'discovery':<22} tells balancer {notice.balancer}: box {notice.box} is {notice.health}",
+                    f"{at_s:12.6f}  {'discovery':<22} tells balancer {news.balancer}: box {news.box} is {news.health}",
                 )
             )
     for v in result.violations:
@@ -236,7 +236,7 @@
         raise argparse.ArgumentTypeError(f"{text!r} is not A-B")
     low, high = int(first), int(last if dash else first)
     if low > high or high - low >= MAX_SEEDS:
-        raise argparse.ArgumentTypeError(f"{text!r}: A is to be no more than B, and {MAX_SEEDS} seeds at most")
+        raise argparse.ArgumentTypeError(f"{text!r}: A must not exceed B, and at most {MAX_SEEDS} seeds are allowed")
     return low, high
 
 
@@ -245,8 +245,8 @@
         "lanemux simulate",
         allow_abbrev=False,
         description=(
-            "The balancer's real code on a virtual clock, against faults drawn from seeds; the four rules are checked "
-            "after every step. Exit status 0: no seed failed; 1: some did."
+            "Run the real balancer code on a virtual clock against faults drawn from seeds, checking the four rules "
+            "after every step. Exit status 0: no seed failed; 1: some failed."
         ),
     )
     parser.add_argument(
@@ -254,20 +254,24 @@
         metavar="A-B",
         type=_seed_range,
         default=_seed_range(DEFAULT_SEEDS),
-        help=f"which seeds (default {DEFAULT_SEEDS})",
+        help=f"range of seeds to run (default {DEFAULT_SEEDS})",
     )
-    parser.add_argument("--json", metavar="FILE", help="write the figures there")
-    parser.add_argument("--jobs", metavar="N", type=int, default=os.cpu_count() or 1, help="processes (default: cores)")
-    parser.add_argument("--replay", metavar="SEED", type=int, help="play one seed again")
-    parser.add_argument("--trace", metavar="FILE", help="with --replay: write what each party saw there")
+    parser.add_argument("--json", metavar="FILE", help="write a report to FILE")
     parser.add_argument(
-        "--storm", action="store_true", help="boxes die together, callers retry at once, and [storm] is on"
+        "--jobs", metavar="N", type=int, default=os.cpu_count() or 1, help="number of processes (default: cores)"
+    )
+    parser.add_argument("--replay", metavar="SEED", type=int, help="run one seed again")
+    parser.add_argument("--trace", metavar="FILE", help="with --replay: write the timeline to FILE")
+    parser.add_argument(
+        "--storm", action="store_true", help="run storms: boxes die together, callers retry at once, [storm] is enabled"
     )
     parser.add_argument("--first", action="store_true", help="stop at the first seed that fails")
-    parser.add_argument("--no-shrink", dest="shrink", action="store_false", help="do not cut a failing seed down")
+    parser.add_argument(
+        "--no-shrink", dest="shrink", action="store_false", help="do not shrink the script of a failing seed"
+    )
     options = parser.parse_args(argv)
     if options.jobs < 1 or (options.trace and options.replay is None):
-        parser.error("--jobs takes 1 or more; --trace goes with --replay")
+        parser.error("--jobs must be at least 1; --trace requires --replay")
     return options
 
 
--- a/lanemux/virtual/connection_times.py
+++ b/lanemux/virtual/connection_times.py
@@ -1,4 +1,4 @@
-"""What boxes see of their connections in a virtual run: the network knows it exactly."""
+"""Exact times of connection events at the boxes, taken from the virtual network."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ExactConnectionTimes:
-    """When a balancer's end did what a box sees: the network knows."""
+    """When a balancer wrote what a box reads, and when it closed, in ns since the start of the run."""
 
     def __init__(self, boxes: Process) -> None:
         self.boxes = boxes
@@ -39,6 +39,6 @@
 
 
 class NoPollTimes:
-    """A virtual loop's looks tell nothing that its network does not tell exactly."""
+    """Placeholder for the loop's poll times: `ExactConnectionTimes` makes them unnecessary."""
 
     looks_ns = [0, 0, 0]
--- a/lanemux/virtual/faults/__init__.py
+++ b/lanemux/virtual/faults/__init__.py
@@ -1,4 +1,4 @@
-"""What can go wrong in a virtual run, by whom it befalls: boxes, balancers, clients, discovery."""
+"""Fault injection for virtual runs: one module each for boxes, balancers, clients and discovery."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 from lanemux.virtual.balancer import RestartableBalancer
 
 BoxFault = Callable[[int, int, object], None]
-"""Strikes a box, by number, for so many ns; with what the event that brought the fault is about, or None."""
+"""Injects a fault into a box: its number, the duration in ns, and what arrived in the triggering event, or None."""
 BalancerFault = Callable[[RestartableBalancer, int, object], None]
-"""The same for a balancer."""
+"""Injects a fault into a balancer; the other arguments are the same."""
--- a/lanemux/virtual/faults/balancer.py
+++ b/lanemux/virtual/faults/balancer.py
@@ -1,4 +1,4 @@
-"""Faults of balancers: their processes, disks, clocks and descriptors."""
+"""Balancer faults: processes, disks, clocks and descriptors."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from lanemux.virtual.simulation import Simulation
 
 
-FRONT_NOTICE_NS = 250 * MS  # from a balancer's start until the front knows it again
-ACCEPT_RESUMED_NS = 60 * MS  # after descriptors were out, accepting begins again by then
-RECONNECTED_NS = 1500 * MS  # what was written to a connection given up is heard on the next one, by then
-SILENT_WATCH_NS = 4500 * MS  # a watch that is silent for good is found out, and another one up, by then
-CONFIG_FAULT_NS = 100 * MS
-PAUSE_BEFORE_SEND_SHARE = 0.6  # of lurches that come between a decision to send and the sending
+FRONT_NOTICE_NS = 250 * MS  # from a balancer's start until the front sends to it again
+ACCEPT_RESUMED_NS = 60 * MS  # accepting resumes within this after descriptors ran out
+RECONNECTED_NS = 1500 * MS  # news written to an abandoned connection is received on the next one within this
+SILENT_WATCH_NS = 4500 * MS  # a silent watch is detected and replaced within this
+CONFIG_FAULT_NS = 100 * MS  # until the configuration is readable and whole again
+PAUSE_BEFORE_SEND_SHARE = 0.6  # of mid-turn pauses: between a decision to send and the sending
 
 
 class BalancerFaults:
-    """What befalls balancers."""
+    """The balancer faults by name."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -112,7 +112,7 @@
 
     def _record_down(self, balancer: RestartableBalancer) -> None:
         balancer.downtime = Life(balancer.number, "down", self._simulation.now())
-        self._simulation.books.balancers_down.append(balancer.downtime)
+        self._simulation.caller_books.balancers_down.append(balancer.downtime)
 
     def _restart(self, balancer: RestartableBalancer) -> None:
         if balancer.downtime is not None:
@@ -132,14 +132,14 @@
         self._send_sighup(balancer)
 
     def _move(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
-        """Discovery has another address; for a while the old one tells all the same."""
+        """Move discovery to a new address; the old one keeps working for the duration."""
         old = balancer.agent
         if isinstance(old, Agent):
-            self._simulation.kit.loop.create_task(self._move_discovery(balancer, old, duration_ns))
+            self._simulation.kit_process.loop.create_task(self._move_discovery(balancer, old, duration_ns))
 
     async def _move_discovery(self, balancer: RestartableBalancer, old: Agent, duration_ns: int) -> None:
         balancer.discovery_moves += 1
-        new = balancer.agent = old.successor()  # from now on it is told all that the old one is told
+        new = balancer.agent = old.successor()  # from now on it gets the same news as the old one
         balancer.place.discovery = await new.open(f"127.0.{203 + balancer.discovery_moves % 50}.{balancer.number + 1}")
         self._simulation.world.network.targets[balancer.place.discovery] = ("list", balancer.number)
         if balancer.process is not None:
--- a/lanemux/virtual/faults/box.py
+++ b/lanemux/virtual/faults/box.py
@@ -15,11 +15,11 @@
 
 
 RESTART_NS = 300 * MS  # from a drained box's exit to its next start
-REMOVAL_TOLD_SHARE = 0.5  # of trades in which discovery tells in between that both boxes are gone
+REMOVAL_ANNOUNCED_SHARE = 0.5  # of trades: discovery announces in between that both boxes are gone
 
 
 class BoxFaults:
-    """What befalls boxes."""
+    """The box faults by name."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -38,7 +38,7 @@
         }
 
     def _begin_transition(self, box: int) -> bool:
-        """A box goes through one change of its life at a time."""
+        """Reserve a box for a change; False while another change of it is in progress."""
         if box in self._simulation.boxes_in_transition:
             return False
         self._simulation.boxes_in_transition.add(box)
@@ -49,22 +49,22 @@
 
     def _drain(self, box: int, duration_ns: int, trigger: object) -> None:
         if self._begin_transition(box):
-            self._simulation.tell(box, "draining")
+            self._simulation.announce_health(box, "draining")
             self._simulation.change_box("drain", box)
             self._simulation.call_later(duration_ns, lambda: self._leave_and_return(box))
 
     def _leave_and_return(self, box: int) -> None:
         self._simulation.change_box("leave", box)
-        self._simulation.tell(box, "removed")
+        self._simulation.announce_health(box, "removed")
         self._simulation.call_later(RESTART_NS, lambda: self._restart(box))
 
     def _restart(self, box: int) -> None:
-        """Cold, and told a little later."""
-        born = self._simulation.now()
+        """Start a box cold, and announce it after the discovery delay."""
+        started_ns = self._simulation.now()
         self._simulation.change_box("start", box)
 
         def announce() -> None:
-            self._simulation.tell(box, "up", born)
+            self._simulation.announce_health(box, "up", started_ns)
             self._simulation.boxes_in_transition.discard(box)
 
         self._simulation.call_later(self._draw_wait_ns(self._simulation.plan.scenario.discovery.add_s), announce)
@@ -74,7 +74,7 @@
             self._simulation.change_box("die", box)
             notice_delay_ns = self._draw_wait_ns(self._simulation.plan.scenario.discovery.notice_s)
             if notice_delay_ns < duration_ns:
-                self._simulation.call_later(notice_delay_ns, lambda: self._simulation.tell(box, "removed"))
+                self._simulation.call_later(notice_delay_ns, lambda: self._simulation.announce_health(box, "removed"))
             self._simulation.call_later(duration_ns, lambda: self._restart(box))
 
     def _outage(self, box: int, duration_ns: int, trigger: object) -> None:
@@ -89,20 +89,20 @@
         if self._begin_transition(box):
             self._simulation.change_box("vanish", box)
 
-            def back() -> None:
+            def return_to_service() -> None:
                 self._simulation.change_box("return", box)
                 self._simulation.boxes_in_transition.discard(box)
 
-            self._simulation.call_later(duration_ns, back)
+            self._simulation.call_later(duration_ns, return_to_service)
 
     def _swap(self, box: int, duration_ns: int, trigger: object) -> None:
-        """The box is gone for good; another one comes up at its address."""
+        """Remove a box for good and start another one at its address."""
         if not self._begin_transition(box) or self._simulation.boxes is None:
             return
         self._simulation.change_box("die", box)
         self._simulation.call_later(
             self._draw_wait_ns(self._simulation.plan.scenario.discovery.notice_s),
-            lambda: self._simulation.tell(box, "removed"),
+            lambda: self._simulation.announce_health(box, "removed"),
         )
         old, number = self._simulation.plan.boxes[box], len(self._simulation.plan.boxes)
         self._simulation.plan.boxes.append(
@@ -114,7 +114,7 @@
         self._simulation.call_later(duration_ns, lambda: self._restart(number))
 
     def _trade(self, box: int, duration_ns: int, trigger: object) -> None:
-        """Two boxes go; each comes back at the other's old address, told as gone in between or not."""
+        """Kill two boxes and restart each at the other's old address, with or without announcing their removal."""
         other = (box + 1) % self._simulation.plan.scenario.fleet.boxes
         if (
             other == box
@@ -124,13 +124,13 @@
         ):
             return
         self._begin_transition(other)
-        boxes, removal_told = self._simulation.boxes, self._simulation.rng.random() < REMOVAL_TOLD_SHARE
+        boxes, announce_removal = self._simulation.boxes, self._simulation.rng.random() < REMOVAL_ANNOUNCED_SHARE
         for one in (box, other):
             self._simulation.change_box("die", one)
-            if removal_told:
-                self._simulation.tell(one, "removed")
+            if announce_removal:
+                self._simulation.announce_health(one, "removed")
 
-        def back() -> None:
+        def restart_both() -> None:
             slots = self._simulation.plan.boxes[other].slot, self._simulation.plan.boxes[box].slot
             for one, slot in zip((box, other), slots, strict=True):
                 self._simulation.relocated_boxes[
@@ -143,10 +143,10 @@
                 )
                 self._restart(one)
 
-        self._simulation.call_later(duration_ns, back)
+        self._simulation.call_later(duration_ns, restart_both)
 
     def _pick_stream(self, box: int, trigger: object) -> Endpoint | None:
-        """The connection to a box that an event is about, or any to this one."""
+        """The connection that the triggering event concerns if it leads to a box, else a random one to this box."""
         end = trigger[0] if isinstance(trigger, tuple) else trigger
         if isinstance(end, Endpoint) and end.label.kind == "box":
             return end
--- a/lanemux/virtual/faults/client.py
+++ b/lanemux/virtual/faults/client.py
@@ -1,4 +1,4 @@
-"""Faults of clients: they leave, end their sending, or send twice."""
+"""Client faults: closing, half-closing, and sending a request twice."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from lanemux.virtual.simulation import Simulation
 
 
-HALF_CLOSE_WAIT_NS = 100 * MS
-DUPLICATE_OPEN_NS = 2 * SECOND
+HALF_CLOSE_WAIT_NS = 100 * MS  # from a half-close to the close
+DUPLICATE_OPEN_NS = 2 * SECOND  # until the duplicate's connection is closed
 
 
 class ClientFaults:
-    """What befalls clients, each of a balancer."""
+    """The client faults by name."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -31,7 +31,7 @@
         }
 
     def _pick_connection(self, trigger: object) -> Line | None:
-        """The caller's connection that an event is about, or any on which an answer is due."""
+        """A caller's connection that awaits an answer: the one that the event concerns, else a random one."""
         assert self._simulation.callers is not None
         lines = [line for line in self._simulation.callers.lines if line.current is not None]
         end = trigger[0] if isinstance(trigger, tuple) else trigger
@@ -41,26 +41,26 @@
                 line
                 for line in lines
                 if line.transport is not None
-                and getattr(self._simulation.kit.loop.socket_of(line.transport), "endpoint", None) is caller_end
+                and getattr(self._simulation.kit_process.loop.socket_of(line.transport), "endpoint", None) is caller_end
             ]
         return self._simulation.rng.choice(lines) if lines else None
 
     def _leave(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         line = self._pick_connection(trigger)
         if line is not None and line.current is not None:
-            self._simulation.call_in(self._simulation.kit, line.current.leave)
+            self._simulation.call_in(self._simulation.kit_process, line.current.leave)
 
     def _half(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
         line = self._pick_connection(trigger)
         if line is not None and line.current is not None:
-            self._simulation.call_in(self._simulation.kit, line.current.leave, HALF_CLOSE_WAIT_NS)
+            self._simulation.call_in(self._simulation.kit_process, line.current.leave, HALF_CLOSE_WAIT_NS)
 
     def _double(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
-        """Only what may be repeated: whether the second one is taken for a new request is up to the moment."""
+        """Duplicate safe requests only: depending on timing, the balancer may take the duplicate for a new request."""
         line = self._pick_connection(trigger)
         if line is not None and line.current is not None and line.current.ask.effect == "safe":
             address = self._simulation.balancers[line.balancer].place.listen
-            self._simulation.kit.loop.create_task(self._send_duplicate(address, line.sent))
+            self._simulation.kit_process.loop.create_task(self._send_duplicate(address, line.sent))
 
     async def _send_duplicate(self, address: Address, data: bytes) -> None:
         try:
--- a/lanemux/virtual/faults/discovery.py
+++ b/lanemux/virtual/faults/discovery.py
@@ -1,4 +1,4 @@
-"""Faults of discovery: bursts of news, and an etcd whose watches, members and history go."""
+"""Discovery faults: bursts of news, and etcd watches, members and history that fail."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from lanemux.virtual.simulation import Simulation
 
 
-BURST_INTERVAL_NS = 10 * MS
+BURST_INTERVAL_NS = 10 * MS  # between two notices of a burst
 
 
 class DiscoveryFaults:
-    """What befalls what a balancer is told."""
+    """The discovery faults by name."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -29,19 +29,19 @@
         }
 
     def _burst(self, balancer: RestartableBalancer, duration_ns: int, trigger: object) -> None:
-        """The list changes often, and nothing in it."""
+        """Send many list updates without any actual change."""
         for wait in range(0, duration_ns, BURST_INTERVAL_NS):
             self._simulation.call_later(wait, self._repeat_notice)
 
     def _repeat_notice(self) -> None:
         box = self._simulation.rng.choice(sorted(self._simulation.last_notices))
-        health, born = self._simulation.last_notices[box]
+        health, started_ns = self._simulation.last_notices[box]
         if health == "up" and box not in self._simulation.boxes_in_transition:
-            self._simulation.tell(box, health, born)
+            self._simulation.announce_health(box, health, started_ns)
 
     def _disturb(self, balancer: RestartableBalancer, what: str, duration_ns: int) -> None:
         self._simulation.call_in(
-            self._simulation.kit,
+            self._simulation.kit_process,
             balancer.agent.upset,
             Happening(self._simulation.now(), what, balancer.number, self._simulation.now() + duration_ns),
         )
--- a/lanemux/virtual/leftovers.py
+++ b/lanemux/virtual/leftovers.py
@@ -1,4 +1,4 @@
-"""What a balancer still holds or believes where it has nothing to do any more, and what an ended process left."""
+"""Leak checks: requests that an idle balancer still holds, and resources left by a process that has ended."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def requests_held_by(node: Node, monitor: ModuleMonitor) -> dict[str, int]:
-    """What a balancer keeps of requests, by its kind; nothing of it where all requests have ended."""
+    """Counts of the request state that a balancer holds, by kind; empty once all requests have ended."""
     held = {**node.held(), **_requests_held_by_module(monitor.balancer_module), "sends": len(monitor.open_attempts)}
     if isinstance(monitor.module, StormModule):
         held["storm's"] = monitor.module.open_requests
@@ -32,7 +32,7 @@
 
 
 def health_believed_by(node: Node) -> dict[str, str]:
-    """The health of each host as a balancer believes it."""
+    """Each host's health according to the balancer's membership."""
     membership = node.upstream_set.membership
     return {
         host: HEALTH.get(last.upstream.state, "?")
@@ -42,7 +42,7 @@
 
 
 def resources_left_by(process: Process) -> str:
-    """What a process that has ended left behind, or an empty text."""
+    """Describes the tasks, timers and descriptors left by a process that has ended; empty if there are none."""
     tasks = [task for task in asyncio.all_tasks(process.loop) if task is not process.main]
     timers = process.loop.pending_timers()
     if not (tasks or timers or process.sockets):
--- a/lanemux/virtual/loop.py
+++ b/lanemux/virtual/loop.py
@@ -1,7 +1,7 @@
-"""asyncio's own event loop over virtual sockets: its transports run unchanged, its clock is the world's.
+"""asyncio's selector event loop on virtual sockets and the virtual clock; its transports run unchanged.
 
-What asyncio leaves open is drawn from the seed: the order of timers due in the same nanosecond, and of sockets that are
-ready in the same look.
+Orders that asyncio leaves unspecified are drawn from the seed: that of timers due in the same nanosecond, and that of
+sockets reported ready by the same select.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
     from lanemux.virtual.process import Process
 
 SECOND = 1_000_000_000
-PAUSE_PROBABILITY = 0.3  # of the times that a clock is read, while a standstill in the middle of a turn is due
-TIE_BREAK_S = 0.4e-9  # under a nanosecond: settles the order of timers of the same one, and nothing else
+PAUSE_PROBABILITY = 0.3  # for each reading of the clock while a mid-turn pause is pending
+TIE_BREAK_S = 0.4e-9  # less than 1 ns: only breaks ties between timers of the same nanosecond
 
 
 class VirtualSelector(selectors.BaseSelector):
-    """Tells which virtual sockets are ready; never waits. Real descriptors (the loop's own) never are."""
+    """Reports which virtual sockets are ready; never blocks. Real descriptors (the loop's own) are never ready."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
         self._keys: dict[int, selectors.SelectorKey] = {}
-        self._maybe_ready: dict[int, None] = {}  # may be ready; the others are not
+        self._maybe_ready: dict[int, None] = {}  # sockets that may be ready; all others are known not to be
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
@@ -43,7 +43,7 @@
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
-        if number == -1:  # closed before it was taken off
+        if number == -1:  # closed before it was unregistered
             number = next(n for n, key in self._keys.items() if key.fileobj is fileobj)
         self._maybe_ready.pop(number, None)
         return self._keys.pop(number)
@@ -55,11 +55,12 @@
         return self._keys[number]
 
     def notify(self, number: int) -> None:
-        """Something about that socket has changed."""
+        """The state of a socket has changed: check whether it is ready."""
         if number in self._keys:
             self._maybe_ready[number] = None
 
     def ready(self) -> list[tuple[selectors.SelectorKey, int]]:
+        """The sockets that are ready now, with their events."""
         found = []
         for number in list(self._maybe_ready):
             key, sock = self._keys[number], self._process.sockets.get(number)
@@ -92,13 +93,13 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """The event loop of one virtual process. `step` runs one turn of it."""
+    """The event loop of one virtual process; `step` runs a single iteration (a turn)."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
         self._timer_heap: list[tuple[int, int, asyncio.TimerHandle]] = []
         self._timer_count = 0
-        self._callbacks_pending = False  # something is to run in the next turn
+        self._callbacks_pending = False  # callbacks wait for the next turn
         self._virtual_selector = VirtualSelector(process)
         self._signals: dict[int, tuple[Callable[..., object], tuple[object, ...]]] = {}
         super().__init__(self._virtual_selector)
@@ -116,16 +117,16 @@
     # -- turns --
 
     def step(self) -> None:
-        """One turn: look at the sockets, then run what is due and what waited."""
+        """Run one turn: poll the sockets, then run due timers and pending callbacks."""
         now = self._process.world.event_queue.now_ns
         self._callbacks_pending = False
-        self.stop()  # told beforehand, a loop looks once, runs what is due by then, and returns
+        self.stop()  # run_forever() of a stopped loop runs exactly one iteration
         self.run_forever()
         while self._timer_heap and self._timer_heap[0][0] <= now:
             heapq.heappop(self._timer_heap)
 
     def next_ns(self) -> int:
-        """When the next turn has something to do; now or earlier: at once."""
+        """When the next turn has work; a time that is not in the future means at once."""
         if self._callbacks_pending or self._virtual_selector.ready():
             return 0
         while self._timer_heap and self._timer_heap[0][2].cancelled():
@@ -133,7 +134,7 @@
         return self._timer_heap[0][0] if self._timer_heap else NEVER
 
     def pending_timers(self) -> list[asyncio.TimerHandle]:
-        """Those that are set."""
+        """The timers that are set and not cancelled."""
         return [handle for _, _, handle in self._timer_heap if not handle.cancelled()]
 
     def notify(self, number: int) -> None:
@@ -169,7 +170,7 @@
         return self._signals.pop(sig, None) is not None
 
     def signal(self, sig: int) -> bool:
-        """A signal comes; False if nobody handles it."""
+        """Deliver a signal; False if it has no handler."""
         if sig not in self._signals:
             return False
         callback, args = self._signals[sig]
@@ -207,5 +208,5 @@
         return await super().create_datagram_endpoint(protocol_factory, sock=cast(Any, sock))
 
     def socket_of(self, transport: asyncio.BaseTransport) -> VirtualSocket | None:
-        """The socket under a transport of this loop; None once it is closed."""
+        """The socket of one of this loop's transports; None once it is closed."""
         return self._process.sockets.get(transport.get_extra_info("socket").fileno())
--- a/lanemux/virtual/network.py
+++ b/lanemux/virtual/network.py
@@ -1,8 +1,8 @@
-"""The virtual network: streams and datagrams between processes, with all that befalls them. No I/O.
+"""The virtual network: streams and datagrams between processes, and the faults of both. No I/O.
 
-A stream behaves as TCP over loopback does for its two users (RFC 9293, Linux): bytes arrive in order, cut and joined at
-will; a writer finds room only as the reader reads; an end is read behind all data; a close with unread input, or data
-for a closed end, resets; what had arrived before a reset can still be read.
+A stream behaves as TCP over loopback does (RFC 9293, Linux): bytes arrive in order, in segments of any size; a full
+buffer blocks the writer until the reader reads; end-of-stream is read after all data; closing with unread input, or
+sending to a closed endpoint, causes a reset; data that arrived before a reset can still be read.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 Address = tuple[str, int]
 MS = 1_000_000
-SYN_RETRY_NS = (1000 * MS, 2000 * MS, 4000 * MS)  # as Linux tries again a connection whose first packet was lost
-MAX_QUEUED_DATAGRAMS = 200  # waiting to be read at one socket; more are lost
+SYN_RETRY_NS = (1000 * MS, 2000 * MS, 4000 * MS)  # Linux's waits before it resends a lost SYN
+MAX_QUEUED_DATAGRAMS = 200  # unread at one socket; further ones are lost
 FIRST_EPHEMERAL_PORT = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """How one kind of link behaves all through a run."""
+    """Properties of one kind of link, constant for a run. Probabilities are per write or per datagram."""
 
     latency_ns: int = 50_000
-    jitter_ns: int = 0  # added, drawn from 0 to this
-    split_probability: float = 0.0  # how often a write is cut into several segments
-    buffer_bytes: int = 65_536  # bytes that may be on the way and unread in one direction
-    loss_probability: float = 0.0  # datagrams
-    duplicate_probability: float = 0.0  # datagrams that come a second time
-    delay_probability: float = 0.0  # datagrams that come very late
+    jitter_ns: int = 0  # upper bound of the random extra latency
+    split_probability: float = 0.0  # that a write is split; tried again on the rest
+    buffer_bytes: int = 65_536  # in transit plus unread, in one direction
+    loss_probability: float = 0.0  # that a datagram is lost
+    duplicate_probability: float = 0.0  # that a datagram arrives twice
+    delay_probability: float = 0.0  # that a datagram is delayed by `extra_delay_ns`
     extra_delay_ns: int = 0
 
 
 @dataclass(slots=True)
 class Label:
-    """Which connection it is: its kind of link, who opened it, and whom it reaches."""
+    """Identifies a connection: the kind of link, who opened it, and what it leads to."""
 
-    kind: str  # client, box, list, peer
+    kind: str  # client, box, list (discovery) or peer; other: an address that no party has
     opener: str
-    target: int  # number of the box or balancer that it reaches
-    is_probe: bool = False  # it carries a look at a box
+    target: int  # number of the box or balancer at its far end
+    is_probe: bool = False  # its last request was a probe of a box
 
     def __str__(self) -> str:
         return f"{self.kind}:{self.opener}>{self.target}"
@@ -50,6 +50,8 @@
 
 @dataclass(slots=True)
 class Segment:
+    """Data, end-of-stream or a reset on its way through a stream."""
+
     data: bytes
     sent_ns: int
     flag: str = "data"  # data, end or reset
@@ -57,35 +59,34 @@
 
 @dataclass(slots=True)
 class Pipe:
-    """One direction of a stream: what is on the way and what waits to be read."""
+    """One direction of a stream: segments in transit and segments that wait to be read."""
 
-    in_transit: deque[tuple[int, Segment]] = field(default_factory=deque)  # when each arrives
+    in_transit: deque[tuple[int, Segment]] = field(default_factory=deque)  # with their arrival times
     received: deque[Segment] = field(default_factory=deque)
-    buffered_size: int = 0  # bytes of both
-    last_arrival_ns: int = 0  # the last one on the way: none overtakes it
-    arrival_scheduled: bool = False  # an arrival is on the agenda
-    end_sent: bool = False  # the end was sent
+    buffered_size: int = 0  # bytes of both queues
+    last_arrival_ns: int = 0  # of the last segment sent; later ones never overtake it
+    arrival_scheduled: bool = False  # the arrival of the first segment is in the event queue
+    end_sent: bool = False  # no more data will be written
 
 
 class Endpoint:
-    """One end of a stream, as the kernel of its process holds it."""
+    """One end of a stream: the kernel's side of a socket."""
 
     def __init__(self, network: Network, label: Label, conditions: LinkConditions, opener: bool) -> None:
         self.network, self.label, self.conditions = network, label, conditions
-        self.opener = opener  # this end opened the stream
+        self.opener = opener  # whether this end opened the stream
         self.incoming = Pipe()
         self.peer: Endpoint | None = None
-        self.on_change: Callable[[], None] = lambda: None  # readable or writable may be another now
-        self.end_received = False  # the other side's end has arrived
-        self.was_reset = False  # reset
+        self.on_change: Callable[[], None] = lambda: None  # called when `readable` or `writable` may have changed
+        self.end_received = False  # the peer's end-of-stream has arrived
+        self.was_reset = False
         self.closed = False
-        self.write_ended_ns = NEVER  # it has sent its end, or is closed or reset, since then
-        self.silenced = False  # nothing that is sent to it arrives any more, and nobody is told
-        self.first_read_sent_ns = self.last_read_sent_ns = (
-            0  # when the bytes that were read last had been written, first and last
-        )
+        self.write_ended_ns = NEVER  # when it sent end-of-stream, was closed or was reset
+        self.silenced = False  # all that is sent to it is lost without notice
+        # When the peer had written the first and the last byte of the latest read.
+        self.first_read_sent_ns = self.last_read_sent_ns = 0
 
-    # -- what the process asks --
+    # -- called by the process --
 
     @property
     def readable(self) -> bool:
@@ -96,7 +97,9 @@
         return self.was_reset or self._outgoing().buffered_size < self.conditions.buffer_bytes
 
     def read(self, max_bytes: int) -> bytes | None:
-        """Bytes, nothing at the end, None if there is none yet; ConnectionResetError behind the last byte."""
+        """Returns data, b"" at end-of-stream, or None if there is none yet.
+
+        Raises ConnectionResetError once all data before a reset has been read."""
         pipe, size = self.incoming, 0
         parts: list[bytes] = []
         while pipe.received and size < max_bytes:
@@ -121,7 +124,9 @@
         return b"" if self.end_received else None
 
     def write(self, data: bytes | memoryview) -> int:
-        """How many bytes were taken; 0: there is no room. BrokenPipeError after a reset or an end of its own."""
+        """Returns the number of bytes accepted, 0 if the buffer is full.
+
+        Raises BrokenPipeError after a reset or `shutdown_write`."""
         if self.was_reset or self._outgoing().end_sent:
             raise BrokenPipeError
         taken = bytes(data[: max(0, self.conditions.buffer_bytes - self._outgoing().buffered_size)])
@@ -132,13 +137,14 @@
         return len(taken)
 
     def shutdown_write(self) -> None:
+        """Send end-of-stream."""
         if not (self.was_reset or self._outgoing().end_sent):
             self._outgoing().end_sent = True
             self.write_ended_ns = min(self.write_ended_ns, self.network.now_ns)
             self._send(Segment(b"", self.network.now_ns, "end"))
 
     def close(self, reset: bool = False) -> None:
-        """The process has closed it, or the process is gone."""
+        """Close, on behalf of the process or because it ended; resets the stream if input is unread."""
         if self.closed:
             return
         self.closed = True
@@ -152,19 +158,19 @@
             self.shutdown_write()
 
     def silence(self) -> None:
-        """From now on nothing arrives in either direction, and both ends stay open in silence."""
+        """Black-hole the stream: nothing more arrives in either direction, and both ends stay open."""
         for end in (self, self.peer):
             if end is not None:
                 end.silenced = True
                 end.incoming.in_transit.clear()
 
     def reset_both(self) -> None:
-        """The network breaks it: both ends are reset at once."""
+        """Fault: reset both ends at once."""
         for end in (self, self.peer):
             if end is not None and not end.closed:
                 end._reset()
 
-    # -- the way --
+    # -- transmission --
 
     def _outgoing(self) -> Pipe:
         assert self.peer is not None
@@ -235,7 +241,7 @@
 
 
 class ListenQueue:
-    """A listening address: connections that came up and wait to be accepted."""
+    """A listening address with its backlog of connections that wait to be accepted."""
 
     def __init__(self, address: Address, backlog: int, on_change: Callable[[], None]) -> None:
         self.address, self.backlog, self.on_change = address, backlog, on_change
@@ -243,24 +249,26 @@
         self.closed = False
 
     def close(self) -> None:
+        """Stop listening and reset the connections that were not accepted."""
         self.closed = True
         while self.waiting:
             self.waiting.popleft().close(reset=True)
 
 
 class Mailbox:
-    """A datagram address."""
+    """A datagram address with its queue of unread datagrams."""
 
     def __init__(self, address: Address, on_change: Callable[[], None]) -> None:
         self.address, self.on_change = address, on_change
         self.waiting: deque[tuple[bytes, Address]] = deque()
 
 
+# Called with the kind of link, the event, the label and what arrived: an endpoint (with its segment) or a datagram.
 ArrivalObserver = Callable[[str, str, Label, object], None]
 
 
 class Network:
-    """All links, listeners and mailboxes."""
+    """All links, listening addresses and mailboxes."""
 
     def __init__(
         self,
@@ -270,11 +278,11 @@
         on_arrival: ArrivalObserver = lambda kind, what, label, about: None,
     ) -> None:
         self.event_queue, self.rng, self.links = event_queue, rng, links
-        self.targets: dict[Address, tuple[str, int]] = {}  # what is at an address: kind of link and number
-        self.on_arrival = on_arrival  # told of all that arrives: kind, what, label, end or data
+        self.targets: dict[Address, tuple[str, int]] = {}  # by address: the kind of link and its target's number
+        self.on_arrival = on_arrival  # called on each arrival
         self.queues: dict[Address, ListenQueue] = {}
         self.mailboxes: dict[Address, Mailbox] = {}
-        self.streams: dict[Endpoint, None] = {}  # that are open, by the end that opened them
+        self.streams: dict[Endpoint, None] = {}  # open streams, by the end that opened them
         self._held_until: dict[tuple[str, int], int] = {}
         self._shut_until: dict[tuple[str, int], int] = {}
         self._next_port = FIRST_EPHEMERAL_PORT
@@ -290,17 +298,19 @@
     # -- faults --
 
     def hold_traffic(self, kind: str, to: int, until_ns: int) -> None:
-        """Nothing goes through on the links of that kind to that one, in either direction; all stays open."""
+        """Fault: stop traffic in both directions on the links of a kind to one target; connections stay open."""
         self._held_until[kind, to] = max(until_ns, self._held_until.get((kind, to), 0))
 
     def drop_connects(self, kind: str, to: int, until_ns: int) -> None:
-        """New connections there do not come up: their first packets are lost."""
+        """Fault: drop the SYNs of new connections to one target."""
         self._shut_until[kind, to] = max(until_ns, self._shut_until.get((kind, to), 0))
 
     def held_until(self, label: Label) -> int:
+        """When traffic on a link resumes; not in the future if it is not held."""
         return self._held_until.get((label.kind, label.target), 0)
 
     def arrival(self, label: Label, conditions: LinkConditions) -> int:
+        """Draw the arrival time of something that is sent now."""
         delay_ns = conditions.latency_ns
         if conditions.jitter_ns:
             delay_ns += self.rng.randrange(conditions.jitter_ns)
@@ -311,7 +321,7 @@
     def connect(
         self, opener: str, to: Address, local: Address, on_connected: Callable[[Endpoint | None], None]
     ) -> Callable[[], None]:
-        """Open a stream; `up` is told its end, or None: refused. Gives what calls it off."""
+        """Open a stream. `on_connected` gets the opener's end, or None if refused. Returns a function that cancels."""
         kind, number = self.targets.get(to, ("other", 0))
         label = Label(kind, opener, number)
         conditions = self.links.get(kind, LinkConditions())
@@ -358,7 +368,7 @@
 
         def arrive() -> None:
             if cancelled[0]:
-                opener_end.close(reset=True)  # it was given up while it came up
+                opener_end.close(reset=True)  # cancelled while the connection was being established
                 return
             self.streams[opener_end] = None
             on_connected(opener_end)
@@ -367,7 +377,7 @@
         self.event_queue.call_at(self.arrival(label, conditions), arrive)
 
     def segment_arrived(self, end: Endpoint, segment: Segment) -> None:
-        """Something has arrived at an end."""
+        """Report a segment's arrival under its event name."""
         event = "answer" if end.opener else "ask"
         if segment.flag != "data":
             event = "gone" if not end.opener else "over"
@@ -378,7 +388,7 @@
     # -- datagrams --
 
     def send(self, data: bytes, local: Address, to: Address) -> None:
-        """A datagram: it may be lost, come twice, late and in any order."""
+        """Send a datagram; it may be lost, duplicated, delayed or reordered."""
         kind, number = self.targets.get(to, ("other", 0))
         conditions, rng = self.links.get(kind, LinkConditions()), self.rng
         label = Label(kind, f"{local[0]}:{local[1]}", number)
--- a/lanemux/virtual/observed.py
+++ b/lanemux/virtual/observed.py
@@ -1,4 +1,4 @@
-"""What stands between a node and its decisions in a virtual run, and watches both."""
+"""Wraps the decision module of a node in a virtual run and checks the calls in both directions."""
 
 from __future__ import annotations
 
@@ -10,15 +10,14 @@
 from lanemux.policy import Balancer
 from lanemux.rehearsal.plan import MS
 
-TIMEOUT_GRACE_NS = 5 * MS  # an attempt may end so long after its time-out: turns take time
+TIMEOUT_GRACE_NS = 5 * MS  # an attempt may end this much after its timeout, since turns take time
 
-ModuleWrapper = Callable[
-    [Balancer, api.Settings, int, int], Module
-]  # what stands round the decisions; with seed and time
+# Wraps the decision module; also gets the settings, the seed and the time in ns.
+ModuleWrapper = Callable[[Balancer, api.Settings, int, int], Module]
 
 
 class ModuleMonitor:
-    """The module between the node and its decisions: it holds that every Send has one Outcome, and one is out."""
+    """Checks that each Send gets exactly one Outcome in time and that a request has one open attempt at most."""
 
     def __init__(
         self,
@@ -35,7 +34,7 @@
         self.module: Module = (
             wrap_module(self.balancer_module, settings, seed, now) if wrap_module is not None else self.balancer_module
         )
-        self.open_attempts: dict[tuple[str, int], int] = {}  # attempt -> when it is to time out; 0: not told
+        self.open_attempts: dict[tuple[str, int], int] = {}  # attempt -> when it times out; 0: no timeout
         self._send_counts: Counter[str] = Counter()
         self._report_violation, self._was_exempt, self._on_list_update, self._on_send = (
             report_violation,
@@ -46,14 +45,15 @@
         self._now = now
 
     def avoided(self, now: int) -> int:
-        """As the decisions tell it."""
+        """Passed through from the module."""
         return self.module.avoided(now)
 
     def standing(self, now: int) -> Mapping[str, object]:
-        """As the decisions tell it."""
+        """Passed through from the module."""
         return self.module.standing(now)
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+        """Check the events, pass them to the module, and check the actions that it returns."""
         events = list(events)
         if now < self._now:
             self._report_violation("clock", "the clock went back")
--- a/lanemux/virtual/process.py
+++ b/lanemux/virtual/process.py
@@ -1,4 +1,4 @@
-"""One virtual process: its loop, its descriptors, its machine; it can stand still, be told a signal, and be killed."""
+"""A virtual process: its event loop, descriptors and machine; it can be paused, signalled and killed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class VirtualListener:
-    """A `lanemux.core.system.Listener` of a virtual process."""
+    """Implements `lanemux.core.system.Listener` for a virtual process."""
 
     def __init__(self, process: Process, address: Address, backlog: int) -> None:
         self._socket = StreamSocket(process)
@@ -46,26 +46,26 @@
 
 
 class Process:
-    """A process; as a `lanemux.core.system.System` it is the machine under a balancer."""
+    """A virtual process; also implements `lanemux.core.system.System`, the machine that a balancer runs on."""
 
     def __init__(self, world: World, name: str, descriptors: int = 1024) -> None:
         self.world, self.name = world, name
-        self.descriptors = descriptors  # it may have so many open
-        self.has_memory = True  # False: the kernel has none for it
+        self.descriptors = descriptors  # limit of open descriptors
+        self.has_memory = True  # False: sockets cannot be created or connected for want of kernel memory
         self.disk = Disk()
         self.wall_offset_ns = 1_700_000_000 * 10**9
         self.sockets: dict[int, VirtualSocket] = {}
-        self.check_after_step = False  # what the judge looks at is written in its turns
-        self.paused_until_ns = 0  # it does not run before then
-        self._cached_next_ns = 0  # what `next_ns` told last
-        self._next_ns_stale = True  # and whether that may be another by now
-        self.pending_pause_ns = 0  # the machine is to stand still for so long in the middle of a turn
-        self.pause_before_send = False  # and that behind a decision, before it is carried out
+        self.check_after_step = False  # its turns write the records that the rule checker reads
+        self.paused_until_ns = 0  # no turn runs before then
+        self._cached_next_ns = 0  # last result of `next_ns`
+        self._next_ns_stale = True  # whether it must be computed again
+        self.pending_pause_ns = 0  # length of a pause that is due in the middle of a turn; 0: none
+        self.pause_before_send = False  # that pause falls between a decision to send and the sending
         self.on_pause: Callable[[int], None] = lambda duration_ns: None
-        self.accepted = 0  # connections that it has accepted and not closed
-        self.on_accepted_change: Callable[[int], None] = lambda accepted: None  # told of each change of that
+        self.accepted = 0  # accepted connections that are still open
+        self.on_accepted_change: Callable[[int], None] = lambda accepted: None  # called when `accepted` changes
         self.alive = True
-        self.errors: list[str] = []  # exceptions that nobody caught
+        self.errors: list[str] = []  # uncaught exceptions
         self.main: asyncio.Task[Any] | None = None
         self._last_fileno = FIRST_FILENO
         self._last_step_ns = -1
@@ -75,16 +75,16 @@
     def _on_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
-    # -- the kernel's side --
+    # -- kernel --
 
-    def register_socket(self, made: VirtualSocket) -> int:
+    def register_socket(self, sock: VirtualSocket) -> int:
         self.check_descriptor_available()
         self._last_fileno += 1
-        self.sockets[self._last_fileno] = made
+        self.sockets[self._last_fileno] = sock
         return self._last_fileno
 
     def check_descriptor_available(self) -> None:
-        """OSError where no further descriptor or no memory is to be had."""
+        """Raises OSError if the descriptor limit is reached or the kernel has no memory."""
         if len(self.sockets) >= self.descriptors:
             raise os_error(errno.EMFILE)
         self.check_memory()
@@ -107,7 +107,7 @@
     def socket(self) -> StreamSocket:
         return StreamSocket(self)
 
-    # -- the machine, for the balancer --
+    # -- System: the machine as the balancer sees it --
 
     def wall_ns(self) -> int:
         return self.world.event_queue.now_ns + self.wall_offset_ns
@@ -119,16 +119,16 @@
         return 16 * 1024
 
     def since_last_data_s(self, connection: object) -> float:
-        return 0.0  # a virtual kernel keeps no such time
+        return 0.0  # not tracked by the virtual kernel
 
     def peer_has_closed(self, connection: object) -> bool:
-        return False  # nor this
+        return False  # not tracked either
 
     def has_unread(self, connection: object) -> bool:
-        return False  # a virtual loop reads what has come before anything else
+        return False  # a virtual loop reads arrived data before anything else
 
     def sleep(self, for_s: float) -> None:
-        """A virtual process has its loop from the first moment on: nothing waits without one."""
+        """No-op: a virtual process has its event loop from the start, so nothing waits outside it."""
 
     def termination_pending(self) -> bool:
         return False
@@ -137,7 +137,7 @@
         return VirtualListener(self, address, backlog)
 
     def inherit(self, descriptor: int) -> VirtualListener:
-        raise os_error(errno.EBADF)  # no virtual platform holds a listener
+        raise os_error(errno.EBADF)  # there is no listener to inherit
 
     def read(self, path: str, most: int) -> bytes:
         return self.disk.read(path, most)
@@ -146,7 +146,7 @@
         self.disk.replace(path, data)
 
     def make_directory(self, path: str) -> None:
-        """A virtual disk needs no folders."""
+        """No-op: a virtual disk needs no directories."""
 
     def list_directory(self, folder: str) -> list[str]:
         return self.disk.list_directory(folder)
@@ -154,16 +154,17 @@
     def directory_mtime_ns(self, folder: str) -> int:
         return self.disk.replacements
 
-    # -- life --
+    # -- lifecycle --
 
     def run(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start its main task."""
+        """Start the main task."""
         self.main = self.loop.create_task(work)
         return self.main
 
     def next_ns(self) -> int:
-        """When it has something to do; NEVER once it is gone. Asked before every step of the world: worked out anew
-        only when something has happened to it."""
+        """When the next turn is due; NEVER once the process has ended.
+
+        Called before every step of the world, so the result is cached until something happens to the process."""
         if self._next_ns_stale:
             self._next_ns_stale = False
             self._cached_next_ns = self._due_ns() if self.alive else NEVER
@@ -172,19 +173,20 @@
     def _due_ns(self) -> int:
         due = self.loop.next_ns()
         if 0 < due <= self._last_step_ns:
-            due = self._last_step_ns + 1  # what was due has run; a turn for nothing must not repeat for ever
+            due = self._last_step_ns + 1  # due timers have run; avoids endless empty turns in one instant
         return max(due, self.paused_until_ns)
 
     def invalidate_next_ns(self) -> None:
-        """Something has happened to it: when it runs next may be another time by now."""
+        """Something happened that may change when the next turn is due."""
         self._next_ns_stale = True
 
     def pause_until(self, until_ns: int) -> None:
-        """It does not run before then."""
+        """Run no turn before then."""
         self.paused_until_ns = max(self.paused_until_ns, until_ns)
         self._next_ns_stale = True
 
     def step(self) -> None:
+        """Run one turn."""
         self._last_step_ns = self.world.event_queue.now_ns
         self.loop.step()
         self._next_ns_stale = True
@@ -192,40 +194,41 @@
             self._main_finished(self.main)
 
     def _main_finished(self, main: asyncio.Task[Any]) -> None:
-        """It has ended by itself."""
+        """The main task has ended."""
         if not main.cancelled() and (error := main.exception()) is not None:
             self.errors.append(f"it ended by {error!r}")
         self.world.on_process_end(self)
         self.kill()
 
     def pause_mid_turn(self) -> None:
-        """The machine stands still in the middle of a turn: the clock goes on between two instructions."""
+        """Pause the machine in the middle of a turn: the clock advances between two instructions."""
         duration_ns, self.pending_pause_ns = self.pending_pause_ns, 0
         self.on_pause(duration_ns)
         self.world.event_queue.now_ns += duration_ns
 
     def signal(self, number: signal.Signals) -> None:
-        """What the process does not handle kills it, except SIGHUP, which the daemon ignores until it is up."""
+        """Deliver a signal; without a handler it kills the process, except SIGHUP, which the daemon ignores until it is
+        up."""
         if self.alive and not self.loop.signal(number) and number is not signal.SIGHUP:
             self.kill()
 
     def kill(self) -> None:
-        """As SIGKILL: its connections are closed by the kernel, nothing of it runs any more."""
+        """As SIGKILL: nothing of the process runs any more, and the kernel closes its connections."""
         self.alive = False
         self._next_ns_stale = True
         self._close_sockets()
 
     def _close_sockets(self) -> None:
-        for made in list(self.sockets.values()):
-            made.close()
+        for sock in list(self.sockets.values()):
+            sock.close()
 
     def dispose(self) -> None:
-        """At the end of a world: nothing of it may run later, also not as garbage."""
+        """Clean up at the end of a world, so that nothing runs later, not even in garbage collection."""
         self.alive = False
         self.loop.set_exception_handler(lambda loop, context: None)
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
-        for _ in range(20):  # each turn ends what the one before has woken
+        for _ in range(20):  # each turn finishes tasks that the one before it woke
             if not asyncio.all_tasks(self.loop):
                 break
             self.loop.step()
--- a/lanemux/virtual/script.py
+++ b/lanemux/virtual/script.py
@@ -1,7 +1,7 @@
-"""What goes wrong in a virtual run: a small, readable list, drawn from a seed. No I/O, no clock.
+"""The faults of a virtual run: a short, readable script, drawn from a seed. No I/O, no clock.
 
-Faults come at a time, or with the nth event of a kind: in the same instant, or a moment later. Most are drawn so, since
-what breaks a balancer is two things at once.
+A fault is injected at a time, or in the same instant as the nth event of a kind, or shortly after it. Most are tied to
+an event or to another fault, since balancers break when two things coincide.
 """
 
 from __future__ import annotations
@@ -35,83 +35,83 @@
     "list answer",
     "peer message",
 )
-# What can go wrong, how often it is drawn, and how long it lasts in milliseconds (from, to).
+# Each fault: its weight in the draw, and the range of its duration in ms (for `wall`: of the step, in ms).
 FAULTS: dict[str, tuple[float, float, float]] = {
-    "drain": (4, 800, 2500),  # a box: told at once; it leaves after that time, and comes back cold
-    "die": (2, 300, 2000),  # a box: its process ends, and starts again cold after that time
-    "freeze": (2, 20, 600),  # a box stands still
-    "vanish": (1, 400, 2500),  # a box is cut off in silence
-    "swap": (2, 300, 1500),  # a box goes for good; another comes up cold at its address
-    "still": (3, 5, 1500),  # a balancer's process stands still
-    "lurch": (3, 1, 300),  # the machine stands still in the middle of a balancer's turn
-    "stop": (2, 100, 1500),  # a balancer: SIGTERM, and a new one after that time
-    "kill": (1, 100, 1500),  # a balancer: SIGKILL, and a new one after that time
-    "reload": (1, 0, 0),  # a balancer: SIGHUP, nothing is changed
-    "move": (2, 200, 1500),  # a balancer: SIGHUP, discovery is elsewhere; the old one goes on for that time
-    "torn": (1, 0, 0),  # a balancer: SIGHUP, half of its configuration is there
-    "unread": (1, 0, 0),  # a balancer: SIGHUP, its disk fails
-    "reset": (3, 0, 0),  # a connection to a box breaks
-    "hold": (2, 50, 3000),  # nothing goes through to a box, all stays open
-    "shut": (2, 100, 2000),  # connections to a box do not come up
-    "mute": (2, 0, 0),  # a connection to a box stays open in silence for good
-    "trade": (2, 200, 1500),  # two boxes die; each comes up at the other's address
-    "deaf": (1, 200, 3000),  # no message reaches a balancer
-    "unheard": (2, 100, 4000),  # nothing goes through between a balancer and its discovery
-    "lost": (2, 0, 0),  # the balancer's connections to discovery stay open in silence for good
-    "full": (1, 20, 800),  # a balancer gets no further descriptor
-    "starved": (1, 20, 800),  # and its kernel no memory for further connections
-    "wall": (1, -3_600_000, 3_600_000),  # a balancer's wall clock is set by so much
+    "drain": (4, 800, 2500),  # a box: announced at once; it exits after the duration, and restarts cold
+    "die": (2, 300, 2000),  # a box: its process dies, and restarts cold after the duration
+    "freeze": (2, 20, 600),  # a box is paused
+    "vanish": (1, 400, 2500),  # a box becomes unreachable without notice
+    "swap": (2, 300, 1500),  # a box is gone for good; another one starts cold at its address
+    "still": (3, 5, 1500),  # a balancer's process is paused
+    "lurch": (3, 1, 300),  # the machine is paused in the middle of a balancer's turn of the event loop
+    "stop": (2, 100, 1500),  # a balancer: SIGTERM, and a restart after the duration
+    "kill": (1, 100, 1500),  # a balancer: SIGKILL, and a restart after the duration
+    "reload": (1, 0, 0),  # a balancer: SIGHUP without a change
+    "move": (2, 200, 1500),  # a balancer: SIGHUP, discovery has a new address; the old one works on for the duration
+    "torn": (1, 0, 0),  # a balancer: SIGHUP with a half-written configuration
+    "unread": (1, 0, 0),  # a balancer: SIGHUP while its disk can't be read
+    "reset": (3, 0, 0),  # a connection to a box is reset
+    "hold": (2, 50, 3000),  # no traffic to or from a box; connections stay open
+    "shut": (2, 100, 2000),  # new connections to a box time out
+    "mute": (2, 0, 0),  # a connection to a box is black-holed for good
+    "trade": (2, 200, 1500),  # two boxes die; each restarts at the other's address
+    "deaf": (1, 200, 3000),  # no peer message reaches a balancer
+    "unheard": (2, 100, 4000),  # no traffic between a balancer and its discovery
+    "lost": (2, 0, 0),  # the balancer's connections to discovery are black-holed for good
+    "full": (1, 20, 800),  # a balancer has no free descriptors
+    "starved": (1, 20, 800),  # a balancer's kernel has no memory for further connections
+    "wall": (1, -3_600_000, 3_600_000),  # a balancer's wall clock is stepped
     "leave": (3, 0, 0),  # a client closes its connection
-    "half": (1, 0, 0),  # a client ends its sending
-    "double": (2, 0, 0),  # a client sends its request once more under the same id, on another connection
-    "burst": (2, 20, 200),  # the list changes often for that time
-    "drop": (2, 0, 0),  # etcd: watches end
-    "member": (2, 0, 0),  # etcd: a member starts again
-    "stall": (2, 200, 4000),  # etcd: a member says nothing
-    "compact": (3, 0, 0),  # etcd: history goes while the watch is away
-    "outage": (0, 400, 2500),  # storms: a third of the boxes die together; each comes back cold in its own time
+    "half": (1, 0, 0),  # a client half-closes its connection
+    "double": (2, 0, 0),  # a client sends its request again under the same id on another connection
+    "burst": (2, 20, 200),  # the list changes often during that time
+    "drop": (2, 0, 0),  # etcd: watches are closed
+    "member": (2, 0, 0),  # etcd: a member restarts
+    "stall": (2, 200, 4000),  # etcd: a member does not respond
+    "compact": (3, 0, 0),  # etcd: history is compacted while the watch is disconnected
+    "outage": (0, 400, 2500),  # storms: a third of the boxes die together; each restarts cold after a time of its own
 }
 ETCD_FAULTS = ("drop", "member", "stall", "compact")
 BOX_FAULTS = ("drain", "die", "freeze", "vanish", "swap", "reset", "hold", "shut", "mute", "trade", "outage")
-STORM_ONLY_FAULTS = ("outage",)  # not drawn in the usual worlds
-EVENT_TARGET = -1  # whom the event is about
+STORM_ONLY_FAULTS = ("outage",)  # drawn only with `storm`
+EVENT_TARGET = -1  # the party that the triggering event concerns
 MAX_FAULTS = 6
 SECONDS = 4.0
 STORM_SECONDS = 5.0
-STORM_SPLIT_SHARE = 0.1  # of the links that may cut writes
-SIMULTANEOUS_SHARE = 0.45  # share of faults that come with another one at the same moment
-EVENT_TRIGGERED_SHARE = 0.7
-UNPROBED_SHARE = 0.2  # share of worlds in which boxes are not looked at: there a request goes out again in its own turn
-LONG_DELAY_MS = 600_000  # datagrams that are minutes late come after the run
+STORM_SPLIT_SHARE = 0.1  # of the kinds of link: they keep their split writes and small buffers
+SIMULTANEOUS_SHARE = 0.45  # of the faults: another one coincides
+EVENT_TRIGGERED_SHARE = 0.7  # of the faults: triggered by an event; the others have a time
+UNPROBED_SHARE = 0.2  # of the setups: boxes are not probed, so that a request is retried within its own turn
+LONG_DELAY_MS = 600_000  # 10 minutes: such datagrams arrive after the end of the run
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that goes wrong."""
+    """One fault and what triggers it."""
 
     what: str
     who: int = EVENT_TARGET  # number of the box or balancer
-    at_ms: float = 0.0  # from the first moment of the run; with `on`: without meaning
-    on: str = ""  # the kind of event that brings it
-    nth: int = 0  # and which of its kind, from 1
-    lag_us: int = 0  # so long after it
+    at_ms: float = 0.0  # from the start of the run; ignored with `on`
+    on: str = ""  # the event that triggers it; empty: `at_ms` does
+    nth: int = 0  # which of these events, counted from 1
+    lag_us: int = 0  # delay after the event
     for_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """One virtual run: what a seed settles, and the faults, which may be fewer than it drew."""
+    """One virtual run: its seed, which determines the setup, and its faults, which may be fewer than the seed drew."""
 
     seed: int
     faults: tuple[Fault, ...] = ()
-    asks: tuple[int, ...] | None = None  # the numbers of those that are sent; None: all
-    calm: bool = False  # links without jitter, cuts and loss
-    storm: bool = False  # more callers than boxes can serve, who retry at once; balancers with the storm module
+    asks: tuple[int, ...] | None = None  # numbers of the requests that are sent; None: all
+    calm: bool = False  # links without jitter, split writes and loss
+    storm: bool = False  # overload by callers who retry at once; balancers run the storm module
 
 
 @dataclass(slots=True)
 class WorldSetup:
-    """What a seed makes of the world, before anything goes wrong."""
+    """The world that a seed determines, apart from the faults."""
 
     scenario: Scenario
     links: dict[str, LinkConditions] = field(default_factory=dict)
@@ -128,7 +128,7 @@
 
 
 def world_setup(seed: int, calm: bool = False, storm: bool = False) -> WorldSetup:
-    """The world of a seed."""
+    """Draw the world of a seed."""
     setup = _base_setup(seed, calm)
     if storm:
         rng = random.Random(f"{seed}/storm")
@@ -141,8 +141,8 @@
             callers=Callers(at_once=rng.choice((0.5, 1.0)), impatient=0.01, honour=rng.choice((0.0, 0.5, 1.0))),
             discovery=dataclasses.replace(s.discovery, notice_s=(0.05, 3.0), add_s=(0.05, 2.0)),
         )
-        # Few sockets would leave callers unaccepted, and writes cut to bytes take most of a run's steps: both are the
-        # usual worlds' matter.
+        # Both are left to the base setup: few descriptors would keep callers from being accepted, and writes split
+        # into single bytes would take most of a run's steps.
         setup.descriptor_limit = 1024
         setup.links = {
             kind: w
@@ -154,7 +154,7 @@
 
 
 def needs_etcd(seed: int) -> bool:
-    """Do the balancers of this seed take their list from etcd?"""
+    """Whether the balancers of this seed get their list from etcd."""
     return world_setup(seed).scenario.discovery.source == "etcd"
 
 
@@ -191,7 +191,7 @@
 
 
 def _link_conditions(rng: random.Random, kind: str) -> LinkConditions:
-    """Links that are often exactly as fast as one another, so that things arrive in the same instant."""
+    """Draw from few latencies, so that arrivals on different links often fall in the same instant."""
     latency = rng.choice((0, 50_000, 50_000, 1_000_000, 3_000_000))
     jitter = rng.choice((0, 0, 100_000, 2_000_000))
     if kind == "peer":
@@ -212,7 +212,7 @@
 
 
 def draw(seed: int, storm: bool = False) -> Script:
-    """The script of a seed; with `storm`, one in which boxes die together."""
+    """Draw the script of a seed; with `storm`, boxes die together."""
     world, rng = world_setup(seed, storm=storm), random.Random(f"{seed}/{'storm ' if storm else ''}faults")
     faults: list[Fault] = []
     if storm:
@@ -254,26 +254,26 @@
         and (source == "agent" or k != "move")
     ]
     what = rng.choices(kinds, [FAULTS[k][0] for k in kinds])[0]
-    low, high = FAULTS[what][1:]
-    duration_ms = round(rng.uniform(low, high), 1) if high > low else 0.0
+    shortest, longest = FAULTS[what][1:]
+    duration_ms = round(rng.uniform(shortest, longest), 1) if longest > shortest else 0.0
     fleet = world.scenario.fleet
     who = rng.randrange(fleet.boxes if what in BOX_FAULTS else fleet.balancers)
     if rng.random() >= EVENT_TRIGGERED_SHARE:
         return Fault(what, who, at_ms=round(rng.uniform(0, SECONDS * 1000), 3), for_ms=duration_ms)
-    on = rng.choice(EVENTS)
-    lag = rng.choice((0, 0, 0, 1, 1000, rng.randrange(20_000)))
+    event = rng.choice(EVENTS)
+    lag_us = rng.choice((0, 0, 0, 1, 1000, rng.randrange(20_000)))
     return Fault(
         what,
         EVENT_TARGET if rng.random() < 0.7 else who,
-        on=on,
+        on=event,
         nth=int(rng.paretovariate(0.6)) % 200 + 1,
-        lag_us=lag,
+        lag_us=lag_us,
         for_ms=duration_ms,
     )
 
 
 def as_test(script: Script) -> str:
-    """A test that plays the script, to be pasted."""
+    """The source of a test that plays the script."""
     lines = [f"def test_seed_{script.seed}() -> None:", "    assert play(Script(", f"        seed={script.seed},"]
     if script.faults:
         lines.append("        faults=(")
@@ -289,7 +289,7 @@
 
 
 def _fault_call(fault: Fault) -> str:
-    """The fault with what differs from the defaults."""
+    """The constructor call of a fault, without default values."""
     arguments = [repr(fault.what)]
     for f in dataclasses.fields(fault)[1:]:
         value = getattr(fault, f.name)
--- a/lanemux/virtual/shrink.py
+++ b/lanemux/virtual/shrink.py
@@ -1,4 +1,4 @@
-"""Cutting a failing script down: fewer faults, fewer asks, calmer links, as long as it still fails. No I/O."""
+"""Shrinks a failing script: fewer faults, fewer requests and calmer links, as long as it still fails. No I/O."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 Item = TypeVar("Item")
 ROUND_MS = 100.0
-MAX_RUNS = 400  # runs that one shrinking may cost: some minutes at worst
+MAX_RUNS = 400  # limit for shrinking one script: some minutes at worst
 
 
-SIMPLIFICATIONS: tuple[Callable[[Fault], Fault], ...] = (  # the same fault with rounder figures
+SIMPLIFICATIONS: tuple[Callable[[Fault], Fault], ...] = (  # the same fault with rounder numbers
     lambda fault: dataclasses.replace(fault, lag_us=0),
     lambda fault: dataclasses.replace(fault, for_ms=round(fault.for_ms / ROUND_MS) * ROUND_MS),
     lambda fault: dataclasses.replace(fault, at_ms=float(round(fault.at_ms))),
@@ -22,13 +22,13 @@
 
 
 class _BudgetSpent(Exception):
-    """No tries are left."""
+    """The limit of runs is reached."""
 
 
 def shrink(
     script: Script, asks: int, still_fails: Callable[[Script], bool], max_runs: int = MAX_RUNS
 ) -> tuple[Script, int]:
-    """The least script found that still fails, and the runs that it took. `asks`: how many the seed has."""
+    """The smallest failing script found, and the number of runs. `asks`: how many requests the seed has."""
     search = _Search(script, still_fails, max_runs)
     with contextlib.suppress(_BudgetSpent):
         search.run(asks)
@@ -36,7 +36,7 @@
 
 
 class _Search:
-    """The least script so far."""
+    """The search, with the smallest failing script so far."""
 
     def __init__(self, script: Script, still_fails: Callable[[Script], bool], max_runs: int) -> None:
         self.best = script
@@ -59,7 +59,7 @@
         _delta_debug(self.best.faults, lambda part: self._try(dataclasses.replace(self.best, faults=tuple(part))))
 
     def _try(self, candidate: Script) -> bool:
-        """Take it if it still fails."""
+        """Run a candidate and keep it if it still fails."""
         if candidate == self.best:
             return False
         if self.runs >= self._max_runs:
@@ -72,7 +72,7 @@
 
 
 def _delta_debug(items: Sequence[Item], still_fails: Callable[[Sequence[Item]], bool]) -> None:
-    """Delta debugging: leave out ever smaller parts (Zeller and Hildebrandt, 2002)."""
+    """Delta debugging (Zeller and Hildebrandt, 2002): remove ever smaller parts while the rest still fails."""
     items = list(items)
     if items and still_fails([]):
         return
--- a/lanemux/virtual/simulation.py
+++ b/lanemux/virtual/simulation.py
@@ -1,4 +1,4 @@
-"""One virtual run: the kit's parties and checker and the balancer's real code, on one virtual clock."""
+"""One virtual run: the rehearsal kit's callers, boxes and discovery, and real balancers, on one virtual clock."""
 
 from __future__ import annotations
 
@@ -52,31 +52,21 @@
 from lanemux.virtual.script import BOX_FAULTS, EVENT_TARGET, Fault, Script, WorldSetup, world_setup
 from lanemux.virtual.world import World
 
-SETTLE_NS = 8 * SECOND  # from the last ask to the quiet: the longest fault and the longest deadline
-IDLE_NS = 3 * SECOND  # longer than any connection stays idle at a balancer
+SETTLE_NS = 8 * SECOND  # after the last request: covers the longest fault and the longest deadline
+IDLE_NS = 3 * SECOND  # longer than a balancer keeps any idle connection
 SHUTDOWN_NS = 5 * SECOND  # longer than a balancer's drain
-CALLER_WAIT_NS = 6 * SECOND  # callers wait so long for an answer that may be excused
-TIMELINE_BYTES = 60  # of what arrives, shown in the timeline
-MIN_CLIENT_CONNECTIONS, RESERVED_DESCRIPTORS = (
-    8,
-    32,
-)  # for clients' connections: what a balancer may keep of its descriptors for others
+CALLER_WAIT_NS = 6 * SECOND  # for how long callers wait for an answer, since a late one may be exempt
+TIMELINE_BYTES = 60  # of arrived data, shown in the timeline
+# A balancer's client connections: their least limit, and the descriptors that it reserves for other uses.
+MIN_CLIENT_CONNECTIONS, RESERVED_DESCRIPTORS = 8, 32
 STORM_OPTIONS = StormOptions()
-PLANNED_BOX_CHANGES = (
-    "die",
-    "start",
-    "drain",
-    "leave",
-    "vanish",
-    "return",
-    "freeze",
-    "neighbour",
-)  # a plan's own, of boxes
+# Happenings of a scenario's own plan that concern boxes.
+PLANNED_BOX_CHANGES = ("die", "start", "drain", "leave", "vanish", "return", "freeze", "neighbour")
 
 
 @dataclass(slots=True)
 class Result:
-    """A run that is over."""
+    """The outcome of a run."""
 
     script: Script
     violations: list[Violation]
@@ -88,16 +78,17 @@
     boxes: BoxBooks
     steps: int = 0
     virtual_s: float = 0.0
-    covered: Counter[tuple[str, str]] = field(default_factory=Counter)  # (fault, event that brought it, or "time")
+    # Faults injected, by name and trigger: an event, or "time".
+    covered: Counter[tuple[str, str]] = field(default_factory=Counter)
     timeline: list[str] = field(default_factory=list)
 
 
-def _storm_module(balancer_module: Balancer, told: api.Settings, seed: int, now: int) -> Module:
-    return StormModule(balancer_module, told, STORM_OPTIONS, seed, now)
+def _storm_module(balancer_module: Balancer, module_settings: api.Settings, seed: int, now: int) -> Module:
+    return StormModule(balancer_module, module_settings, STORM_OPTIONS, seed, now)
 
 
 class Simulation:
-    """All parties of one virtual run."""
+    """Sets up all parties of a virtual run, runs it, injects the faults and checks the rules."""
 
     def __init__(
         self,
@@ -106,7 +97,8 @@
         setup: WorldSetup | None = None,
         wrap_module: ModuleWrapper | None = None,
     ) -> None:
-        """`wrap_module`: round the decisions; None: the storm's module in storms, else nothing."""
+        """`setup` replaces that of the seed. `wrap_module` wraps the decision module; by default the storm module does
+        in storms, and nothing otherwise."""
         self.script = script
         self._wrap_module = wrap_module or (_storm_module if script.storm else None)
         setup = setup or world_setup(script.seed, script.calm, script.storm)
@@ -119,15 +111,14 @@
         self.descriptor_limit = setup.descriptor_limit
         self.world = World(f"{script.seed}/world", setup.links)
         self.world.max_step_ns = setup.max_step_ns
-        self.books, self.box_books, self.exemptions = CallerBooks(), BoxBooks(), Exemptions()
-        self.closed_spans: dict[
-            int, dict[int, list[list[int]]]
-        ] = {}  # balancer -> upstream -> spans from read news to news
-        self.host_ids = Membership(0)  # numbers hosts as every balancer does
+        self.caller_books, self.box_books, self.exemptions = CallerBooks(), BoxBooks(), Exemptions()
+        # By balancer and upstream: spans from the news that nothing may be sent there to the news that it is ready.
+        self.closed_spans: dict[int, dict[int, list[list[int]]]] = {}
+        self.host_ids = Membership(0)  # assigns the same numbers to hosts as every balancer does
         self.checker = RuleChecker(
             self.plan,
             self.box_books,
-            self.books,
+            self.caller_books,
             self.exemptions,
             self._closed_spans_of,
             lambda balancer, box: box not in self.relocated_boxes.values() or (balancer, box) in self._relocations_read,
@@ -139,15 +130,14 @@
         self._event_counts: Counter[str] = Counter()
         self._pending_faults: dict[tuple[str, int], list[Fault]] = {}
         self.boxes_in_transition: set[int] = set()
-        self.relocated_boxes: dict[
-            int, int
-        ] = {}  # boxes that came up at another's old address, by their upstreams' numbers
-        self._relocations_read: set[tuple[int, int]] = set()  # balancers that have read of such a box where it is
-        self.last_notices: dict[int, tuple[str, int]] = {}
+        # Boxes that restarted at another box's old address, by upstream id.
+        self.relocated_boxes: dict[int, int] = {}
+        self._relocations_read: set[tuple[int, int]] = set()  # (balancer, such a box) where its new address was read
+        self.last_notices: dict[int, tuple[str, int]] = {}  # box -> its last announced health and start time
         self.balancers: list[RestartableBalancer] = []
-        self.kit = self.world.add_process("kit", 1_000_000)
+        self.kit_process = self.world.add_process("kit", 1_000_000)
         self.boxes_process = self.world.add_process("boxes", 1_000_000)
-        self.kit.check_after_step = self.boxes_process.check_after_step = True  # books are kept there alone
+        self.kit_process.check_after_step = self.boxes_process.check_after_step = True  # only they write records
         self.addresses: list[list[Address]] = []
         self._relay: Relay | None = None
         self.front: Front | None = None
@@ -164,22 +154,22 @@
         self.world.on_process_end = self._check_ended_process
 
     def _number_asks(self) -> None:
-        """Requests name their asks by number: it is their place in the list."""
+        """Renumber the asks by position: requests refer to an ask by its index in the list."""
         self.plan.asks = [dataclasses.replace(a, number=i) for i, a in enumerate(self.plan.asks)]
 
     def now(self) -> int:
-        """Nanoseconds since the first moment of the run."""
+        """Nanoseconds since the start of the run."""
         return self.world.event_queue.now_ns - RUN_START_NS
 
-    # -- the whole run --
+    # -- running --
 
     def play(self) -> Result:
-        """From the first socket to the last; the violations found are in the result."""
+        """Run everything from startup to shutdown and return the result, including violations."""
         try:
-            self.kit.run(self._open())
-            self._run_until(lambda: self.kit.main is not None and self.kit.main.done(), RUN_START_NS)
+            self.kit_process.run(self._open())
+            self._run_until(lambda: self.kit_process.main is not None and self.kit_process.main.done(), RUN_START_NS)
             if self.callers is None:
-                self._report_violation("crash", f"the world did not come up: {self.kit.errors}")
+                self._report_violation("crash", f"the world did not come up: {self.kit_process.errors}")
             else:
                 self._play()
             self.checker.finish(check_retry_herds=self.script.storm)
@@ -188,17 +178,17 @@
         for process in self.world.processes:
             for fault in process.errors:
                 self._report_violation("crash", f"{process.name}: {fault}")
-        for part in (self.books.tries, self.box_books.attempts, self.books.told, self.checker.violations):
+        for part in (self.caller_books.tries, self.box_books.attempts, self.caller_books.told, self.checker.violations):
             self.world.note(part)
-        found = figures(self.plan, self.box_books, self.books)
+        service = figures(self.plan, self.box_books, self.caller_books)
         return Result(
             self.script,
             self.checker.violations,
             self.world.digest(),
             self.drawn_ask_count,
-            found,
+            service,
             self.plan,
-            self.books,
+            self.caller_books,
             self.box_books,
             self.world.steps,
             self.now() / SECOND,
@@ -224,25 +214,25 @@
         for notice in self.plan.notices:
             self.world.event_queue.call_at(
                 RUN_START_NS + notice.at_ns,
-                lambda n=notice: self.tell(n.box, n.health, n.born_ns),  # type: ignore[misc]
+                lambda n=notice: self.announce_health(n.box, n.health, n.born_ns),  # type: ignore[misc]
             )
         callers = self.callers
         assert callers is not None
         last = self.plan.asks[-1].at_ns if self.plan.asks else 0
         self._run_until(lambda: False, RUN_START_NS + last + SETTLE_NS)
-        self._pending_faults.clear()  # nothing goes wrong any more
-        self.call_in(self.kit, callers.close)
+        self._pending_faults.clear()  # no further faults
+        self.call_in(self.kit_process, callers.close)
         self._run_until(lambda: False, self.world.event_queue.now_ns + IDLE_NS)
         self._check_idle_balancers()
         for balancer in self.balancers:
             if balancer.process is not None and not balancer.stopping:
                 balancer.stopping = True
                 balancer.process.signal(signal.SIGTERM)
-        gone = self._run_until(
+        all_ended = self._run_until(
             lambda: all(s.process is None or not s.process.alive for s in self.balancers),
             self.world.event_queue.now_ns + SHUTDOWN_NS,
         )
-        if not gone:
+        if not all_ended:
             self._report_violation("end", "a balancer did not end by its drain")
         if self.boxes is not None:
             self.boxes.end()
@@ -253,14 +243,14 @@
     def _report_violation(self, rule: str, what: str) -> None:
         self.checker.report_violation(rule, self.now(), what)
 
-    def call_in(self, process: Process, do: Callable[..., object], *args: object) -> None:
-        """Have a process do it in its next turn."""
-        process.loop.call_soon(do, *args)
+    def call_in(self, process: Process, callback: Callable[..., object], *args: object) -> None:
+        """Call a function in the next turn of a process."""
+        process.loop.call_soon(callback, *args)
 
-    # -- coming up --
+    # -- startup --
 
     async def _open(self) -> None:
-        """In the kit's process: bring everybody up."""
+        """Start all parties; runs in the kit's process."""
         fleet = self.plan.scenario.fleet
         self._open_boxes()
         places = [
@@ -288,15 +278,15 @@
         for balancer in self.balancers:
             self.start(balancer)
         self.front = Front([room_of(fleet, b) for b in range(fleet.balancers)], [p.listen for p in places])
-        self.callers = Callers(self.plan, self.front, self.books, RUN_START_NS, CALLER_WAIT_NS)
+        self.callers = Callers(self.plan, self.front, self.caller_books, RUN_START_NS, CALLER_WAIT_NS)
         self.callers.begin()
         await self.callers.done.wait()
-        await asyncio.sleep(3600)  # the kit's process stays until the world ends
+        await asyncio.sleep(3600)  # keep the kit's process alive until the end of the run
 
     def _open_boxes(self) -> None:
         process = self.boxes_process
         asks = {name: ask for ask in self.plan.asks for name in ask.ids}
-        make = cast(Any, process.socket)
+        make_socket = cast(Any, process.socket)
         world = BoxWorld(
             process.loop,
             self.plan,
@@ -306,9 +296,9 @@
             asks,
             self._box_fell_over,
             ExactConnectionTimes(process),
-            make,
+            make_socket,
         )
-        self.addresses = reserve(self.plan, "127.0", make)
+        self.addresses = reserve(self.plan, "127.0", make_socket)
         for slot, row in enumerate(self.addresses):
             self.world.network.targets.update({address: ("box", slot) for address in row})
         self.boxes = Boxes(world, self.addresses)
@@ -316,51 +306,50 @@
         self.call_in(process, self.boxes.begin, False)
 
     def _agent_factory(self) -> Callable[[int], ListAgent]:
-        wall_ms = (RUN_START_NS + self.kit.wall_offset_ns) // MS
+        wall_ms = (RUN_START_NS + self.kit_process.wall_offset_ns) // MS
         if self.plan.scenario.discovery.source == "agent":
-            return lambda number: Agent(number, self.now, wall_ms, self.books.told)
+            return lambda number: Agent(number, self.now, wall_ms, self.caller_books.told)
         from lanemux.rehearsal.etcd.agent import EtcdAgent
         from lanemux.rehearsal.etcd.store import Store
 
         store = Store()
 
         def listen(address: Address) -> Any:
-            made = self.kit.socket()
-            made.bind(address)
-            return made
+            sock = self.kit_process.socket()
+            sock.bind(address)
+            return sock
 
-        return lambda number: EtcdAgent(number, self.now, wall_ms, self.books.told, store, listen)
+        return lambda number: EtcdAgent(number, self.now, wall_ms, self.caller_books.told, store, listen)
 
     def start(self, balancer: RestartableBalancer) -> None:
-        """A balancer's process comes up, with the list as its agent has it."""
+        """Start a process for a balancer, configured with its agent's current list."""
         balancer.starts += 1
         balancer.stopping = False
         disk = balancer.process.disk if balancer.process is not None else None
         process = self.world.add_process(f"n{balancer.number}", self.descriptor_limit)
-        places = max(
-            MIN_CLIENT_CONNECTIONS, (self.descriptor_limit - RESERVED_DESCRIPTORS) // 2
-        )  # the other half are for connections to boxes
+        # Half of the descriptors are for clients, the other half for connections to boxes.
+        connection_limit = max(MIN_CLIENT_CONNECTIONS, (self.descriptor_limit - RESERVED_DESCRIPTORS) // 2)
         self.exemptions.set_at_connection_limit(balancer.number, False, self.now())
 
         def on_accepted_change(accepted: int) -> None:
             if process is balancer.process:
-                self.exemptions.set_at_connection_limit(balancer.number, accepted >= places, self.now())
+                self.exemptions.set_at_connection_limit(balancer.number, accepted >= connection_limit, self.now())
 
         process.on_accepted_change = on_accepted_change
         if disk is not None:
             process.disk = disk
-            disk.unreadable = False  # a start waits for its disk
+            disk.unreadable = False  # a process starts only once its disk is readable
         balancer.process, balancer.node = process, None
         self.write_configuration(balancer)
 
-        def module(told: api.Settings, seed: int, now: int) -> ModuleMonitor:
+        def module(module_settings: api.Settings, seed: int, now: int) -> ModuleMonitor:
             balancer.monitor = ModuleMonitor(
-                told, seed, now, self._wrap_module, report_violation, was_exempt, on_list_update, on_send
+                module_settings, seed, now, self._wrap_module, report_violation, was_exempt, on_list_update, on_send
             )
             return balancer.monitor
 
         def report_violation(rule: str, what: str) -> None:
-            if process.alive:  # what is cleared away behind a killed one is nobody's fault
+            if process.alive:  # the cleanup after a kill does not count
                 self._report_violation(rule, what)
 
         def on_send() -> None:
@@ -381,13 +370,13 @@
 
         async def serving() -> None:
             lists = ListSourceSetting(lambda: self._make_source(balancer, process))
-            admission = (lambda places: ConnectionAdmission(places, 0.5)) if self.script.storm else None
+            admission = (lambda limit: ConnectionAdmission(limit, 0.5)) if self.script.storm else None
             await serve(read_config(CONFIGURATION, process), CONFIGURATION, lists, process, module, up, admission)
 
         process.run(serving())
 
     def _on_list_update(self, balancer: int, now: int, update: api.ListUpdate) -> None:
-        """A balancer has read news: from now on nothing new goes to what drains or is gone."""
+        """A balancer has read news: from now on it may send nothing new to upstreams that drain or are gone."""
         spans = self.closed_spans.setdefault(balancer, {})
         whole = update.kind in (api.ListKind.FULL, api.ListKind.CACHED)
         ready = {u.id for u in update.upstreams if u.state is api.State.READY}
@@ -405,7 +394,7 @@
 
     def _closed_spans_of(self, balancer: int, box: int) -> list[list[int]]:
         if box in self.relocated_boxes.values():
-            return []  # it is reached where a balancer still believes another one, until it reads better
+            return []  # requests to its address may be meant for the box that was there before
         return self.closed_spans.get(balancer, {}).get(self.host_ids.id_of(self.plan.boxes[box].host), [])
 
     def _make_source(self, balancer: RestartableBalancer, process: Process) -> SourceFactory | None:
@@ -418,7 +407,7 @@
 
     def write_configuration(self, balancer: RestartableBalancer) -> None:
         assert balancer.process is not None
-        told = configuration(
+        config = configuration(
             f"n{balancer.number}",
             balancer.place,
             f"{self.plan.seed:x}-{balancer.number}-{balancer.starts}",
@@ -426,12 +415,12 @@
             balancer.settings,
             self.descriptor_limit,
         )
-        balancer.process.disk.write(CONFIGURATION, json.dumps(told).encode())
+        balancer.process.disk.write(CONFIGURATION, json.dumps(config).encode())
 
-    # -- at the end --
+    # -- final checks --
 
     def _check_idle_balancers(self) -> None:
-        """Nothing of any request is left at a balancer that has nothing to do."""
+        """An idle balancer must hold no request state."""
         for balancer in self.balancers:
             if (
                 balancer.process is None
@@ -447,19 +436,19 @@
                 self._report_violation("left", f"balancer {balancer.number} at rest still holds {left}")
 
     def _check_believed_health(self, balancer: RestartableBalancer, node: Node) -> None:
-        """What the balancer believes of each box is what it was told last."""
+        """A balancer must believe of each box what discovery announced last."""
         hosts = [self.plan.boxes[box].host for box in self.last_notices]
-        told = {
+        announced = {
             host: health
             for host, (health, _) in zip(hosts, self.last_notices.values(), strict=True)
             if health != "removed"
         }
         believed = leftovers.health_believed_by(node)
-        if told != believed:
-            self._report_violation("list", f"balancer {balancer.number} believes {believed}, told was {told}")
+        if announced != believed:
+            self._report_violation("list", f"balancer {balancer.number} believes {believed}, told was {announced}")
 
     def _check_ended_process(self, process: Process) -> None:
-        """A process has come to its end by itself: it must leave nothing."""
+        """A process that has ended by itself must leave no tasks, timers or descriptors."""
         if process.name in ("kit", "boxes"):
             return
         if left := leftovers.resources_left_by(process):
@@ -468,7 +457,7 @@
     # -- faults --
 
     def _on_arrival(self, kind: str, what: str, label: Label, about: object) -> None:
-        """Something has arrived somewhere."""
+        """Count an arrival as an event, add it to the timeline, and schedule the faults that it triggers."""
         event = f"{kind} {what}"
         self._event_counts[event] += 1
         if self._trace_enabled:
@@ -485,12 +474,12 @@
             )
 
     def trace(self, who: str, what: str) -> None:
-        """A line of the timeline, where one is kept."""
+        """Add a line to the timeline if tracing is enabled."""
         if self._trace_enabled:
             self.timeline.append(f"{self.now() / 1e9:12.6f}  {who:<22} {what}")
 
     def _inject(self, fault: Fault, event: str, about: tuple[Label, object] | None) -> None:
-        """A fault strikes."""
+        """Inject a fault; `about` is the label of its event and what arrived, None if it has a time."""
         balancers, boxes = len(self.balancers), self.plan.scenario.fleet.boxes
         who = fault.who
         if who == EVENT_TARGET:
@@ -500,23 +489,23 @@
         self.world.note("fault", fault.what, who)
         self.trace("fault", f"{fault.what} {who} for {fault.for_ms} ms")
         duration_ns = int(fault.for_ms * MS)
-        told = about[1] if about is not None else None
+        arrived = about[1] if about is not None else None
         if fault.what in BOX_FAULTS:
-            self._box_faults.by_name[fault.what](who % boxes, duration_ns, told)
+            self._box_faults.by_name[fault.what](who % boxes, duration_ns, arrived)
         else:
-            self._balancer_faults[fault.what](self.balancers[who % balancers], duration_ns, told)
+            self._balancer_faults[fault.what](self.balancers[who % balancers], duration_ns, arrived)
 
-    def call_later(self, delay_ns: int, do: Callable[[], None]) -> None:
-        """Do it after so long on the virtual clock."""
-        self.world.event_queue.call_after(delay_ns, do)
+    def call_later(self, delay_ns: int, callback: Callable[[], None]) -> None:
+        """Call a function after a delay on the virtual clock."""
+        self.world.event_queue.call_after(delay_ns, callback)
 
-    # -- what faults do to boxes --
+    # -- called by the faults --
 
-    def tell(self, box: int, health: str, born_ns: int = 0) -> None:
-        """Discovery has news: all agents know it at once."""
+    def announce_health(self, box: int, health: str, born_ns: int = 0) -> None:
+        """Announce a box's health: all discovery agents learn it at once."""
         self.last_notices[box] = (health, born_ns)
         self.trace("discovery", f"box {box} is {health}")
-        self.call_in(self.kit, self._tell_agents, box, health, born_ns)
+        self.call_in(self.kit_process, self._tell_agents, box, health, born_ns)
 
     def _tell_agents(self, box: int, health: str, born_ns: int) -> None:
         row, slot = self.plan.boxes[box], self.plan.boxes[box].slot
@@ -524,7 +513,7 @@
             balancer.agent.tell(row, self.addresses[slot][balancer.number], Notice(self.now(), box, health, born_ns))
 
     def change_box(self, what: str, box: int, until_ns: int = 0) -> None:
-        """A change in the life of a box, now."""
+        """Apply a change to a box now."""
         self._apply_happening(Happening(self.now(), what, box, until_ns))
 
     def _apply_happening(self, happening: Happening) -> None:
@@ -535,16 +524,10 @@
     def _box_fell_over(self, box: int, at_ns: int) -> None:
         self.trace(f"box {box}", "falls over")
 
-    # -- balancers --
-
-    # -- clients --
-
-    # -- lists --
-
 
 @contextmanager
 def no_logging_or_gc() -> Iterator[None]:
-    """No log and no garbage collection while a run lasts: both would cost most of its time."""
+    """Disable logging and garbage collection during a run: they would take most of its time."""
     before = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
     gc.collect()
@@ -562,7 +545,6 @@
     setup: WorldSetup | None = None,
     wrap_module: ModuleWrapper | None = None,
 ) -> Result:
-    """Play a script on a virtual clock; `setup`: in this setting, and not in that of its seed; `wrap_module`: with this
-    round the decisions."""
+    """Run a script on a virtual clock; `setup` and `wrap_module` as for `Simulation`."""
     with no_logging_or_gc():
         return Simulation(script, trace_enabled, setup, wrap_module).play()
--- a/lanemux/virtual/sockets.py
+++ b/lanemux/virtual/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of a virtual process: what asyncio and the kit call on a `socket.socket`, over the virtual network."""
+"""Sockets of a virtual process: the part of `socket.socket` that asyncio and the rehearsal kit use."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 if TYPE_CHECKING:
     from lanemux.virtual.process import Process
 
-FIRST_FILENO = 1_000_000  # far from the kernel's own: the loops have real ones for waking up
+FIRST_FILENO = 1_000_000  # clear of the real descriptors, which each loop has for its self-pipe
 HOST = "127.0.0.1"
 
 
 def os_error(number: int) -> OSError:
+    """The OSError that Linux raises for an errno."""
     return OSError(number, os.strerror(number))
 
 
 class VirtualSocket:
-    """One descriptor. It never blocks; errors are those that Linux gives."""
+    """One descriptor; never blocks, and fails with the same errors as on Linux."""
 
     family = socket.AF_INET
     proto = socket.IPPROTO_TCP
@@ -40,7 +41,7 @@
         return -1 if self._closed else self._fileno
 
     def setblocking(self, blocking: bool) -> None:
-        """It never blocks."""
+        """No-op: virtual sockets never block."""
 
     def gettimeout(self) -> float:
         return 0.0
@@ -52,7 +53,7 @@
         raise os_error(errno.ENOTCONN)
 
     def setsockopt(self, level: int, option: int, value: object) -> None:
-        """Without effect, unless a kind of socket says otherwise."""
+        """No-op by default."""
 
     def getsockopt(self, level: int, option: int) -> int:
         return 0
@@ -82,7 +83,7 @@
 
 
 class StreamSocket(VirtualSocket):
-    """A stream's socket: bound and listening, coming up, or connected."""
+    """A stream socket: bound, listening, connecting or connected."""
 
     def __init__(self, process: Process, endpoint: Endpoint | None = None) -> None:
         super().__init__(process)
@@ -185,7 +186,7 @@
     def send(self, data: bytes | bytearray | memoryview) -> int:
         if self.endpoint is None:
             raise os_error(errno.ENOTCONN)
-        with memoryview(data) as view:  # what finds no room is not copied, and the buffer is free again at once
+        with memoryview(data) as view:  # copies only the accepted bytes, and releases the buffer at once
             taken = self.endpoint.write(view)
         if not taken and data:
             raise BlockingIOError(errno.EAGAIN, "send buffer full")
@@ -209,7 +210,7 @@
 
 
 class DatagramSocket(VirtualSocket):
-    """A datagram's socket."""
+    """A datagram socket."""
 
     type = socket.SOCK_DGRAM
     proto = socket.IPPROTO_UDP
--- a/lanemux/virtual/world.py
+++ b/lanemux/virtual/world.py
@@ -1,4 +1,4 @@
-"""The virtual world: one clock, one network, its processes; it runs one small step at a time, in a drawn order."""
+"""The virtual world: one clock, one network and the processes, run one step at a time in a random order."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from lanemux.virtual.network import Label, LinkConditions, Network
 from lanemux.virtual.process import Process
 
-MAX_STEPS_PER_INSTANT = 200_000  # steps in one instant: more is a loop without end
+MAX_STEPS_PER_INSTANT = 200_000  # more indicate an endless loop
 
 
 class ClockStuck(Exception):
-    """The clock stands still while steps go on."""
+    """Too many steps ran without the clock advancing."""
 
 
 class World:
-    """Everything that happens, from one seed."""
+    """Runs all processes and events of one seed."""
 
     def __init__(self, seed: str, links: dict[str, LinkConditions]) -> None:
         self.rng = random.Random(seed)
         self.event_queue = EventQueue(self.rng)
         self.network = Network(self.event_queue, self.rng, links, self._arrived)
         self.processes: list[Process] = []
-        self.max_step_ns = 0  # a turn of a loop keeps its process busy for up to so long
+        self.max_step_ns = 0  # upper bound of the random time that each turn keeps its process busy
         self.steps = 0
         self.on_arrival: Callable[[str, str, Label, object], None] = lambda kind, what, label, about: None
         self.after_step: Callable[[], None] = lambda: None
@@ -39,7 +39,7 @@
         return process
 
     def note(self, *what: object) -> None:
-        """Part of the history: runs of a seed are alike if their histories are."""
+        """Add to the history hash: two runs of a seed are the same if their hashes are."""
         self._history_hash.update(repr((self.event_queue.now_ns, *what)).encode())
 
     def digest(self) -> str:
@@ -51,7 +51,7 @@
         self.on_arrival(kind, what, label, about)
 
     def run(self, until: Callable[[], bool], end_ns: int) -> bool:
-        """Step on until that is so; False if the time is up first."""
+        """Run steps until a condition holds; False if `end_ns` comes first."""
         steps_at_instant, event_queue = 0, self.event_queue
         while not until():
             now = event_queue.now_ns
@@ -72,6 +72,7 @@
         return True
 
     def _step(self) -> None:
+        """Run one turn of a process that is due, or the next event of the queue, chosen at random."""
         now = self.event_queue.now_ns
         choices: list[Process | None] = [p for p in self.processes if p.next_ns() <= now]
         if self.event_queue.next_ns() <= now:
@@ -88,7 +89,7 @@
             self.after_step()
 
     def close(self) -> None:
-        """The end: tasks and loops are cleared away."""
+        """Dispose of all tasks and loops."""
         for process in self.processes:
             process.dispose()
-        gc.unfreeze()  # etcd's source freezes what it has imported
+        gc.unfreeze()  # the etcd source calls gc.freeze() after its imports
