--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -1,4 +1,4 @@
-"""Faults to be planted one at a time in a copy of the program: does the virtual world find them?"""
+"""Bugs to be planted one at a time in a copy of the program, to test whether simulated runs find them."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True)
 class Planted:
-    """One fault: what it is, and the lines that make it (file, as they are, as they become)."""
+    """One bug: its name, the behaviour that it breaks or causes, and its edits (file, old text, new text)."""
 
     name: str
     what: str
     changes: tuple[tuple[str, str, str], ...]
-    storm: bool = False  # it is looked for in storms
+    storm: bool = False  # found in storm runs
 
 
 def _one(name: str, what: str, file: str, old: str, new: str) -> Planted:
@@ -29,14 +29,14 @@
 PLANTED = (
     _one(
         "no-call-off",
-        "past mend: a request that waits for a connection is called off when its box drains or moves",
+        "regression: a request that waits for a connection is withdrawn when its box drains or moves",
         UPSTREAM_SET,
         "            pool.close_idle()\n        self._on_targets_changed()\n",
         "            pool.close_idle()\n",
     ),
     Planted(
         "late-answer",
-        "past mend: one final answer; what comes late finds nobody",
+        "regression: a request gets one final answer; a late one is dropped",
         (
             (
                 NODE,
@@ -62,77 +62,77 @@
     ),
     _one(
         "id-twice",
-        "past mend: a second use of an open request's id is refused",
+        "regression: reusing the id of an open request is refused",
         NODE,
         "elif ids[0] in self._active_request_ids:",
         "elif False:",
     ),
     _one(
         "timeout-from-send",
-        "past mend: the time-out counts from the decision",
+        "regression: the timeout counts from the decision",
         NODE,
         "end = min(end, self._module_runner.decided_ns + action.timeout_ns)",
         "end = now + action.timeout_ns",
     ),
     _one(
         "reset-at-drain",
-        "this issue's mend: who waits to be accepted when a drain ends is answered",
+        "regression: connections that wait to be accepted when a drain ends are answered",
         FRONTEND,
         "        await self._accept_last(end_s - FORCED_CLOSE_MARGIN_S)",
         "        pass",
     ),
     _one(
         "timers-left",
-        "this issue's mend: the module's timers end with the node",
+        "regression: the module's timers end with the node",
         NODE,
         "for timer in (*self._module_timers.values(), self._sweep_timer, ",
         "for timer in (self._sweep_timer, ",
     ),
     _one(
         "moot-untold",
-        "past mend: a Send that can't be carried out has its Outcome",
+        "regression: a Send that can't be carried out gets its Outcome",
         NODE,
         "            self.feed(api.Outcome(action.request, attempt_number, action.upstream, api.Result.NOT_SENT, 0, active is None))\n",
         "",
     ),
     _one(
         "written-unseen",
-        "past mend: a reset behind the last byte is no proof that nothing ran",
+        "regression: a reset after the last byte does not prove that the request never ran",
         UPSTREAM,
         "        elif not self._transport.is_closing() and not self._transport.get_write_buffer_size():",
         "        elif False:",
     ),
     _one(
         "end-late",
-        "past mend: what is written to an upstream ends at once, before its request goes out again",
+        "regression: writing to an upstream ends at once, before its request is retried",
         UPSTREAM,
         "                self._transport.write_eof()\n",
         "                pass\n",
     ),
     _one(
         "moved-astray",
-        "past mend: a request that waits for a connection to an old address is called off",
+        "regression: a request that waits for a connection to an old address is withdrawn",
         UPSTREAM,
         "self._connecting is not None and self._connecting.address != self.pool.address",
         "False",
     ),
     _one(
         "kept-after-move",
-        "this issue's mend: a connection to an old address is kept once its answer has come",
+        "a connection to an old address is kept after its answer has come",
         UPSTREAM,
         "not self.ready or connection.address != self.address:",
         "not self.ready:",
     ),
     _one(
         "idle-after-move",
-        "an upstream that moved is reached on connections to where it was",
+        "idle connections to an upstream's old address are used after it moved",
         UPSTREAM,
         "            self.address = address\n            self.close_idle()",
         "            self.address = address",
     ),
     _one(
         "connection-leak",
-        "past mend: a connection that was given up while it came up is closed",
+        "regression: a connection that is abandoned while it is being established is closed",
         UPSTREAM,
         "        if self._connecting is not None:\n            self._connecting.close()\n",
         "",
@@ -146,21 +146,21 @@
     ),
     _one(
         "silent-discovery",
-        "past mend: a watch that is silent for too long is given up",
+        "regression: a watch that is silent for too long is abandoned",
         DISCOVERY,
         "wait_s + RESPONSE_MARGIN_S,",
         "wait_s + 3600,",
     ),
     _one(
         "no-watch-again",
-        "discovery is not asked again after a call that failed",
+        "discovery is not called again after a failed call",
         DISCOVERY,
         "elif self._pushed and self._next_client is None:",
         "elif False:",
     ),
     _one(
         "change-lost",
-        "discovery's version is taken for seen when the watch begins",
+        "discovery's next version counts as seen when the watch starts",
         DISCOVERY,
         "        self._watch_call = self._client.get(query, wait_ms / 1000, self._answered)",
         "        self._watch_call = self._client.get(query, wait_ms / 1000, self._answered)\n"
@@ -168,21 +168,21 @@
     ),
     _one(
         "etcd-compacted",
-        "a watch whose history is gone is begun again where it was",
+        "a watch whose history was compacted resumes at the same revision",
         FOLLOWER,
         "        if event.compacted > 0:",
         "        if False:",
     ),
     _one(
         "etcd-resume-far",
-        "a watch goes on one revision too far",
+        "a watch resumes one revision too late",
         FOLLOWER,
         "last if event.more else last + 1",
         "last if event.more else last + 2",
     ),
     _one(
         "etcd-progress",
-        "past mend: progress does not move the point from which a watch goes on",
+        "regression: progress notifications do not move the revision at which a watch resumes",
         FOLLOWER,
         "        self._alive(now)\n        if event.cluster != self.cluster:\n            return self._other_cluster(now)\n"
         "        return self._level(now, event.revision)\n\n    def _alive",
@@ -191,21 +191,21 @@
     ),
     _one(
         "etcd-silent",
-        "past mend: a watch that is open and silent is given up",
+        "regression: an open but silent watch is abandoned",
         FOLLOWER,
         '                return self._fail(now, "a watch that is open and silent")',
         "                pass",
     ),
     _one(
         "etcd-unnamed",
-        "what a new list does not name stays",
+        "hosts that a new list does not name are kept",
         BOARD,
         "            else:\n                self._gone(host)\n        if self._doubts",
         "        if self._doubts",
     ),
     _one(
         "etcd-overwritten",
-        "past mend: an end that is still to be told is not written over",
+        "regression: a removal that is still to be reported is not overwritten",
         BOARD,
         "if self._pressing.get(host, pair) is not None:",
         "if True:",
@@ -216,13 +216,13 @@
 STORMS = (
     Planted(
         "equal-retry-after",
-        "all refused clients are told to come back after the same time",
+        "all refused clients get the same Retry-After",
         (("storm/module.py", "self._retry_schedule.wait_ns(priority, now))", "500_000_000)"),),
         True,
     ),
     Planted(
         "storm-forgets-nothing",
-        "requests whose client went away stay in the storm module's table",
+        "requests whose client disconnected stay in the storm module's table",
         (
             (
                 "storm/module.py",
@@ -234,13 +234,13 @@
     ),
     Planted(
         "calendar-of-nobody",
-        "the calendar of returns counts nobody: all are told its first slot",
+        "the retry schedule counts no retries: all clients get its first slot",
         (("storm/retry_schedule.py", "        self._scheduled[(self._current_slot + offset) % SLOTS] += 1\n", ""),),
         True,
     ),
     Planted(
         "start-for-answer",
-        "a start that was found out is told in place of the answer that showed it",
+        "a detected restart replaces the outcome that revealed it",
         (
             (
                 "storm/module.py",
@@ -252,13 +252,13 @@
     ),
     Planted(
         "turn-for-decisions",
-        "where a storm begins or ends, what was decided in that moment is lost",
+        "actions decided at the start or end of a storm are lost",
         (("storm/module.py", "return actions + notes if notes else actions", "return notes or actions"),),
         True,
     ),
     Planted(
         "pending-open",
-        "the descriptor of a silent connection that makes place stays open",
+        "the descriptor of a silent connection that is evicted stays open",
         (("net/server.py", "            waiting.close()\n", ""),),
         True,
     ),
@@ -266,7 +266,7 @@
 
 
 def plant(planted: Planted, folder: Path) -> Path:
-    """A copy of the program with the fault in it; each of its lines must be there once."""
+    """Copy the program with the bug in it; each old text must occur exactly once."""
     copy = folder / planted.name
     shutil.copytree(ROOT / "lanemux", copy / "lanemux", ignore=shutil.ignore_patterns("__pycache__"))
     for file, old, new in planted.changes:
--- a/tests/virtual/test_hard_cases.py
+++ b/tests/virtual/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The coincidences that loopback meets only by luck, each brought about on purpose."""
+"""Coincidences that real sockets produce only by chance, each forced here."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 from lanemux.virtual.script import Fault, Script, world_setup
 from lanemux.virtual.simulation import Result, play
 
-SEEDS = (1, 2, 3, 4)  # 1, 3 and 4 follow etcd, 2 an agent
-AGENT, ETCD_FAULTS = 2, 3
+SEEDS = (1, 2, 3, 4)  # 1, 3 and 4 use etcd, 2 an agent
+AGENT_SEED, ETCD_SEED = 2, 3
 MINUTES_NS = 180_000 * MS
 
 
-def sound(script: Script) -> Result:
-    """Play it: no rule is broken, and every fault struck."""
+def play_cleanly(script: Script) -> Result:
+    """Play a script; no rule may be broken, and every fault must have been injected."""
     result = play(script)
     assert result.violations == []
-    struck = {what for what, _ in result.covered}
-    assert {f.what for f in script.faults} <= struck
-    assert result.figures.service > 0.1  # of two boxes both may be away for a while
+    injected = {what for what, _ in result.covered}
+    assert {f.what for f in script.faults} <= injected
+    assert result.figures.service > 0.1  # with two boxes, both may be down for a while
     return result
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("event", ["box look answer", "box up", "box ask"])
-def test_a_drain_is_told_in_the_instant_of_a_look_a_connection_or_a_request(event: str, seed: int) -> None:
-    sound(Script(seed, tuple(Fault("drain", on=event, nth=nth, for_ms=1500.0) for nth in (2, 9))))
+def test_a_drain_is_announced_in_the_instant_of_a_probe_a_connection_or_a_request(event: str, seed: int) -> None:
+    play_cleanly(Script(seed, tuple(Fault("drain", on=event, nth=nth, for_ms=1500.0) for nth in (2, 9))))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_an_answer_and_its_time_out_wait_in_the_same_turn(seed: int) -> None:
-    result = sound(Script(seed, (Fault("still", on="box answer", nth=5, for_ms=900.0),)))
+def test_an_answer_and_its_timeout_are_pending_in_the_same_turn(seed: int) -> None:
+    result = play_cleanly(Script(seed, (Fault("still", on="box answer", nth=5, for_ms=900.0),)))
     assert any(t.how == "answered" and t.end_ns > t.deadline_ns for t in result.books.tries)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_balancer_frozen_past_all_deadlines_wakes_to_a_full_socket(seed: int) -> None:
-    sound(Script(seed, (Fault("still", who=0, at_ms=1000.0, for_ms=2500.0),)))
+def test_a_balancer_paused_past_all_deadlines_resumes_with_full_sockets(seed: int) -> None:
+    play_cleanly(Script(seed, (Fault("still", who=0, at_ms=1000.0, for_ms=2500.0),)))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_client_closes_as_its_answer_comes(seed: int) -> None:
-    result = sound(
+def test_a_client_closes_in_the_instant_its_answer_arrives(seed: int) -> None:
+    result = play_cleanly(
         Script(
             seed,
             tuple(Fault("leave", on=event, nth=nth) for event in ("box answer", "client ask") for nth in range(3, 20)),
@@ -53,10 +53,10 @@
     assert sum(t.how == "left" for t in result.books.tries) >= 5
 
 
-@pytest.mark.parametrize("seed", [AGENT, 5])
+@pytest.mark.parametrize("seed", [AGENT_SEED, 5])
 def test_discovery_moves_while_its_old_address_delivers_a_drain(seed: int) -> None:
     for nth in (3, 8, 15):
-        sound(
+        play_cleanly(
             Script(
                 seed,
                 (
@@ -70,20 +70,20 @@
 @pytest.mark.parametrize("lag_us", [0, 1000, 20_000])
 def test_history_is_compacted_while_a_burst_is_applied(lag_us: int) -> None:
     faults = (Fault("burst", who=0, at_ms=1000.0, for_ms=200.0), Fault("drain", who=0, at_ms=1050.0, for_ms=1500.0))
-    sound(Script(ETCD_FAULTS, (*faults, Fault("compact", who=0, at_ms=1050.0 + lag_us / 1000))))
+    play_cleanly(Script(ETCD_SEED, (*faults, Fault("compact", who=0, at_ms=1050.0 + lag_us / 1000))))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_boxes_come_back_at_each_others_old_addresses(seed: int) -> None:
-    sound(Script(seed, (Fault("trade", who=0, at_ms=800.0, for_ms=400.0),)))
+def test_boxes_restart_at_each_others_old_addresses(seed: int) -> None:
+    play_cleanly(Script(seed, (Fault("trade", who=0, at_ms=800.0, for_ms=400.0),)))
 
 
 @pytest.mark.parametrize("seed", [1, 3])  # with several balancers
-def test_messages_between_balancers_are_lost_doubled_and_minutes_late(seed: int) -> None:
-    made = world_setup(seed)
-    assert made.scenario.fleet.balancers > 1
+def test_peer_messages_are_lost_duplicated_and_delayed_by_minutes(seed: int) -> None:
+    setup = world_setup(seed)
+    assert setup.scenario.fleet.balancers > 1
     links = {
-        **made.links,
+        **setup.links,
         "peer": LinkConditions(
             1000,
             30 * MS,
@@ -98,18 +98,20 @@
             seed,
             (Fault("deaf", who=0, at_ms=1000.0, for_ms=1000.0), Fault("drain", who=0, at_ms=1500.0, for_ms=1500.0)),
         ),
-        setup=dataclasses.replace(made, links=links),
+        setup=dataclasses.replace(setup, links=links),
     )
     assert result.violations == [] and result.figures.service > 0.2
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_balancer_stands_still_between_its_decision_and_its_send(seed: int) -> None:
-    sound(Script(seed, tuple(Fault("lurch", who=0, on="client ask", nth=nth, for_ms=120.0) for nth in range(2, 22, 4))))
+def test_a_balancer_is_paused_between_its_decision_and_its_send(seed: int) -> None:
+    play_cleanly(
+        Script(seed, tuple(Fault("lurch", who=0, on="client ask", nth=nth, for_ms=120.0) for nth in range(2, 22, 4)))
+    )
 
 
-def test_a_standstill_is_not_held_against_clients_whose_requests_were_not_read_yet() -> None:
-    """Found by seed 2105: after a second standstill, connections whose requests lay unread made place for others."""
+def test_after_a_pause_connections_with_unread_requests_are_not_evicted() -> None:
+    """Found by seed 2105: after a second pause, connections with unread requests were evicted in favour of others."""
     result = play(
         Script(
             2105,
@@ -124,17 +126,17 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_sigterm_and_a_standstill_past_the_end_of_the_drain(seed: int) -> None:
-    """Found by seeds 231 and 573: those who waited to be accepted were reset."""
-    sound(
+def test_sigterm_and_a_pause_past_the_end_of_the_drain(seed: int) -> None:
+    """Found by seeds 231 and 573: connections that waited to be accepted were reset."""
+    play_cleanly(
         Script(
             seed, (Fault("stop", who=0, at_ms=1000.0, for_ms=500.0), Fault("still", who=0, at_ms=1001.0, for_ms=1300.0))
         )
     )
 
 
-def test_a_box_drains_where_another_was_whose_answer_came_after_it_had_moved() -> None:
-    """Found by seed 1345: the connection to the old address was kept for the one that had moved."""
+def test_a_box_drains_at_the_old_address_of_a_box_that_answered_after_moving() -> None:
+    """Found by seed 1345: the connection to the old address was kept for the box that had moved."""
     result = play(
         Script(
             1345,
@@ -149,8 +151,9 @@
     assert result.violations == [] and len(result.covered) == 3
 
 
-def test_a_box_drains_where_the_list_still_has_another_and_says_no_more() -> None:
-    """Found by seed 1001091: told up and then draining at the address of an older entry, it was sent to by that one."""
+def test_a_box_drains_at_an_address_that_the_list_still_gives_for_another_box() -> None:
+    """Found by seed 1001091: a box was announced as up, then draining, at the address of an older list entry, and got
+    requests through that entry."""
     result = play(
         Script(
             1001091,
@@ -166,9 +169,9 @@
     assert result.violations == []
 
 
-def test_where_nothing_was_read_of_a_box_since_it_came_up_elsewhere_no_drain_of_it_counts() -> None:
-    """Found by seed 1004528, against the judge: the balancer had read that a box was removed, and nothing of where it
-    came up; what it sent there was for the one that the list still had there."""
+def test_a_drain_does_not_count_until_the_relocated_boxs_address_was_read() -> None:
+    """Found by seed 1004528, a fault of the rule checker: the balancer had read that a box was removed but not where it
+    restarted; its requests to that address were for the box that the list still had there."""
     result = play(
         Script(
             1004528,
--- a/tests/virtual/test_network.py
+++ b/tests/virtual/test_network.py
@@ -1,4 +1,4 @@
-"""The virtual network against the kernel's: asyncio's protocols see the same on both."""
+"""The virtual network against the kernel's: asyncio protocols must observe the same on both."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 from lanemux.virtual.world import World
 
 HOST = "127.0.0.1"
-RESET = struct.pack("ii", 1, 0)
-MUCH = 200_000  # bytes: more than is taken at once
-SMALL = 4096  # what the kernel is told to take
-Scene = Callable[[], Coroutine[Any, Any, list[str]]]
+LINGER_RESET = struct.pack("ii", 1, 0)
+LARGE = 200_000  # bytes: more than a socket accepts at once
+SMALL_BUFFER = 4096  # socket buffer size set in the kernel
+Scenario = Callable[[], Coroutine[Any, Any, list[str]]]
 
 
-class Party(asyncio.Protocol):
-    """Writes down what it sees."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records what it observes."""
 
-    def __init__(self, name: str, log: list[str], heard: Callable[[Party, bytes], None] | None = None) -> None:
-        self.name, self.log, self.heard = name, log, heard
+    def __init__(
+        self, name: str, log: list[str], on_data: Callable[[RecordingProtocol, bytes], None] | None = None
+    ) -> None:
+        self.name, self.log, self.on_data = name, log, on_data
         self.transport: asyncio.Transport | None = None
         self.data = b""
         self.paused = 0
@@ -34,7 +36,7 @@
         self.made = asyncio.Event()
 
     @property
-    def pipe(self) -> asyncio.Transport:
+    def connection(self) -> asyncio.Transport:
         assert self.transport is not None
         return self.transport
 
@@ -44,13 +46,13 @@
 
     def data_received(self, data: bytes) -> None:
         self.data += data
-        if self.heard is not None:
-            self.heard(self, data)
+        if self.on_data is not None:
+            self.on_data(self, data)
 
     def eof_received(self) -> bool:
         self.log.append(f"{self.name}: end after {len(self.data)}")
         self.ended.set()
-        return True  # it goes on writing
+        return True  # keep the transport open for writing
 
     def pause_writing(self) -> None:
         self.paused += 1
@@ -64,31 +66,33 @@
         self.lost.set()
 
 
-async def pair(log: list[str], heard: Callable[[Party, bytes], None] | None = None) -> tuple[Party, Party]:
-    """A client and a server that are connected."""
-    loop, server = asyncio.get_running_loop(), Party("server", log, heard)
+async def pair(
+    log: list[str], on_data: Callable[[RecordingProtocol, bytes], None] | None = None
+) -> tuple[RecordingProtocol, RecordingProtocol]:
+    """A connected client and server."""
+    loop, server = asyncio.get_running_loop(), RecordingProtocol("server", log, on_data)
     listener = await loop.create_server(lambda: server, HOST, 0)
     address = listener.sockets[0].getsockname()
-    _, client = await loop.create_connection(lambda: Party("client", log), *address[:2])
+    _, client = await loop.create_connection(lambda: RecordingProtocol("client", log), *address[:2])
     await server.made.wait()
     listener.close()
     return client, server
 
 
-def linger(party: Party) -> None:
-    party.pipe.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+def reset_on_close(party: RecordingProtocol) -> None:
+    party.connection.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
 
 async def echo_and_half_close() -> list[str]:
     log: list[str] = []
-    client, server = await pair(log, lambda party, data: party.pipe.write(data))
-    client.pipe.write(b"some words")
-    client.pipe.write_eof()
+    client, server = await pair(log, lambda party, data: party.connection.write(data))
+    client.connection.write(b"some words")
+    client.connection.write_eof()
     await server.ended.wait()
-    server.pipe.write(b"!")
-    server.pipe.close()
+    server.connection.write(b"!")
+    server.connection.close()
     await client.ended.wait()
-    client.pipe.close()
+    client.connection.close()
     await client.lost.wait()
     await server.lost.wait()
     return [*sorted(log), client.data.decode()]
@@ -97,8 +101,8 @@
 async def reset_by_linger() -> list[str]:
     log: list[str] = []
     client, server = await pair(log)
-    linger(server)
-    server.pipe.abort()
+    reset_on_close(server)
+    server.connection.abort()
     await client.lost.wait()
     return sorted(log)
 
@@ -106,9 +110,9 @@
 async def data_before_a_reset() -> list[str]:
     log: list[str] = []
     client, server = await pair(log)
-    server.pipe.write(b"last words")
-    linger(server)
-    server.pipe.close()
+    server.connection.write(b"last words")
+    reset_on_close(server)
+    server.connection.close()
     await client.lost.wait()
     return sorted(log)
 
@@ -116,42 +120,42 @@
 async def close_with_unread_input() -> list[str]:
     log: list[str] = []
     client, server = await pair(log)
-    server.pipe.pause_reading()
-    client.pipe.write(b"nobody reads this")
+    server.connection.pause_reading()
+    client.connection.write(b"nobody reads this")
     await asyncio.sleep(0.01)
-    server.pipe.close()
+    server.connection.close()
     await client.lost.wait()
     return sorted(log)
 
 
-async def write_to_who_is_gone() -> list[str]:
+async def write_to_a_closed_peer() -> list[str]:
     log: list[str] = []
     client, server = await pair(log)
-    server.pipe.close()
+    server.connection.close()
     await client.ended.wait()
-    client.pipe.write(b"first")  # brings the reset
+    client.connection.write(b"first")  # triggers the reset
     await asyncio.sleep(0.01)
-    client.pipe.write(b"second")  # meets it
+    client.connection.write(b"second")  # fails because of it
     await client.lost.wait()
     return sorted(log)
 
 
-async def a_reader_that_stops() -> list[str]:
+async def a_reader_that_pauses() -> list[str]:
     log: list[str] = []
     client, server = await pair(log)
-    server.pipe.pause_reading()
-    client.pipe.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
-    server.pipe.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL)
-    client.pipe.write(b"x" * MUCH)
+    server.connection.pause_reading()
+    client.connection.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
+    server.connection.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+    client.connection.write(b"x" * LARGE)
     assert client.paused == 1
     await asyncio.sleep(0.01)
-    log.append(f"still some to write: {client.pipe.get_write_buffer_size() > 0}")
-    server.pipe.resume_reading()
-    client.pipe.write_eof()
+    log.append(f"still some to write: {client.connection.get_write_buffer_size() > 0}")
+    server.connection.resume_reading()
+    client.connection.write_eof()
     await server.ended.wait()
-    server.pipe.close()
+    server.connection.close()
     await client.ended.wait()
-    client.pipe.close()
+    client.connection.close()
     await client.lost.wait()
     return sorted(log)
 
@@ -169,20 +173,20 @@
     return ["came up"]
 
 
-async def a_listener_that_closes_on_who_waits() -> list[str]:
+async def a_listener_that_closes_with_pending_connections() -> list[str]:
     loop, log = asyncio.get_running_loop(), cast(list[str], [])
     listener = await loop.create_server(asyncio.Protocol, HOST, 0, start_serving=False)
     sock = listener.sockets[0]
     address = sock.getsockname()
     listening = sock._sock  # type: ignore[attr-defined]  # asyncio hands out no other way to listen and not accept
     listening.listen(5)
-    _, client = await loop.create_connection(lambda: Party("client", log), *address[:2])
+    _, client = await loop.create_connection(lambda: RecordingProtocol("client", log), *address[:2])
     listening.close()
     await client.lost.wait()
     return log
 
 
-class Post(asyncio.DatagramProtocol):
+class DatagramReceiver(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.got: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
@@ -192,8 +196,8 @@
 
 async def datagrams() -> list[str]:
     loop = asyncio.get_running_loop()
-    here, one = await loop.create_datagram_endpoint(Post, (HOST, 0))
-    there, other = await loop.create_datagram_endpoint(Post, (HOST, 0))
+    here, one = await loop.create_datagram_endpoint(DatagramReceiver, (HOST, 0))
+    there, other = await loop.create_datagram_endpoint(DatagramReceiver, (HOST, 0))
     here.sendto(b"a letter", there.get_extra_info("sockname"))
     data = await other.got
     here.close()
@@ -201,24 +205,24 @@
     return [data.decode()]
 
 
-SCENES: tuple[Scene, ...] = (
+SCENARIOS: tuple[Scenario, ...] = (
     echo_and_half_close,
     reset_by_linger,
     data_before_a_reset,
     close_with_unread_input,
-    write_to_who_is_gone,
-    a_reader_that_stops,
+    write_to_a_closed_peer,
+    a_reader_that_pauses,
     refused,
-    a_listener_that_closes_on_who_waits,
+    a_listener_that_closes_with_pending_connections,
     datagrams,
 )
 
 
-def virtually(scene: Scene, seed: int, links: LinkConditions) -> list[str]:
+def run_on_virtual_network(scenario: Scenario, seed: int, links: LinkConditions) -> list[str]:
     world = World(str(seed), {"other": links})
     world.on_process_end = lambda process: None
     process = world.add_process("p")
-    main = process.run(scene())
+    main = process.run(scenario())
     try:
         assert world.run(main.done, world.event_queue.now_ns + 10**11), "it never ended"
         assert process.errors == [] and main.exception() is None
@@ -227,9 +231,9 @@
         world.close()
 
 
-@pytest.mark.parametrize("scene", SCENES, ids=lambda scene: scene.__name__)
-def test_a_scene_goes_alike_on_the_kernels_network_and_the_virtual_one(scene: Scene) -> None:
-    real = asyncio.run(asyncio.wait_for(scene(), 10))
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_a_scenario_behaves_the_same_on_the_real_and_the_virtual_network(scenario: Scenario) -> None:
+    real = asyncio.run(asyncio.wait_for(scenario(), 10))
     for seed in range(10):
         rng = random.Random(seed)
         links = LinkConditions(
@@ -238,4 +242,4 @@
             rng.choice((0.0, 0.9)),
             rng.choice((4096, 65_536)),
         )
-        assert virtually(scene, seed, links) == real
+        assert run_on_virtual_network(scenario, seed, links) == real
--- a/tests/virtual/test_seeds.py
+++ b/tests/virtual/test_seeds.py
@@ -1,4 +1,4 @@
-"""The fixed set of seeds that every change must pass, and that a seed is one history."""
+"""The fixed set of seeds that every change must pass, and reproducibility: a seed has exactly one history."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from tests.virtual.planted import ROOT
 
 FIXED = range(1, 241)
-REPLAYED = "1-8"  # both sources of the list are among them
+REPLAYED = "1-8"  # includes seeds with either source of the list
 
 
 def test_no_seed_of_the_fixed_set_fails() -> None:
     played = list(run_seeds(FIXED, os.cpu_count() or 1))
     assert {p.seed: p.violations for p in played if p.violations} == {}
-    struck: Counter[str] = Counter()
+    injected: Counter[str] = Counter()
     for p in played:
         for (what, _), count in p.covered.items():
-            struck[what] += count
-    assert set(struck) == set(FAULTS) - set(STORM_ONLY_FAULTS), f"never struck: {set(FAULTS) - set(struck)}"
+            injected[what] += count
+    assert set(injected) == set(FAULTS) - set(STORM_ONLY_FAULTS), f"never struck: {set(FAULTS) - set(injected)}"
     assert sum(p.service for p in played) / len(played) > 0.5
 
 
@@ -42,7 +42,7 @@
     return digests
 
 
-def test_a_seed_is_one_history_in_any_process_and_on_any_day(tmp_path: Path) -> None:
+def test_a_seed_has_the_same_history_in_any_process_and_on_any_date(tmp_path: Path) -> None:
     here = histories("1", tmp_path / "a", "-m", "lanemux", "simulate")
     assert {world_setup(int(seed)).scenario.discovery.source for seed in here} == {"agent", "etcd"}
     assert histories("2", tmp_path / "b", "-c", ANOTHER_DAY) == here
@@ -50,14 +50,14 @@
     assert len(set(here.values())) == len(here)
 
 
-def test_a_script_is_drawn_alike_and_names_what_it_does() -> None:
+def test_drawing_a_script_is_deterministic_and_uses_known_faults() -> None:
     assert draw(5) == draw(5) != draw(6)
     for seed in range(300):
         script = draw(seed)
         assert script.faults and all(f.what in FAULTS for f in script.faults)
 
 
-def test_most_faults_are_drawn_with_another_event_or_fault_in_the_same_instant() -> None:
+def test_most_faults_coincide_with_an_event_or_another_fault() -> None:
     together = total = 0
     for seed in range(300):
         faults = draw(seed).faults
--- a/tests/virtual/test_shrink.py
+++ b/tests/virtual/test_shrink.py
@@ -1,4 +1,4 @@
-"""A failing script is cut down to the least that still fails."""
+"""A failing script is shrunk to the smallest one that still fails."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def needs(script: Script) -> bool:
-    """Fails where a drain and a move meet, and two certain asks are sent."""
+    """Fails if there are a drain and a move, and two particular requests are sent."""
     sent = range(100) if script.asks is None else script.asks
     return {"drain", "move"} <= {f.what for f in script.faults} and {17, 63} <= set(sent)
 
 
-def test_only_what_is_needed_is_left() -> None:
+def test_only_the_necessary_faults_and_requests_remain() -> None:
     smallest, runs = shrink(Script(9, FAULTS), 100, needs)
     assert [f.what for f in smallest.faults] == ["drain", "move"]
     assert smallest.asks == (17, 63) and smallest.calm
@@ -25,12 +25,12 @@
     assert needs(smallest) and runs < 100
 
 
-def test_shrinking_stops_when_its_tries_are_spent() -> None:
+def test_shrinking_stops_at_its_limit_of_runs() -> None:
     smallest, runs = shrink(Script(9, FAULTS), 100, needs, max_runs=5)
     assert runs == 5 and needs(smallest)
 
 
-def test_a_script_is_printed_as_a_test_that_can_be_pasted() -> None:
+def test_a_script_is_printed_as_a_runnable_test() -> None:
     script = Script(9, FAULTS[:2], (3, 4), True)
     text = as_test(script)
     found: dict[str, object] = {}
--- a/tests/virtual/test_world.py
+++ b/tests/virtual/test_world.py
@@ -1,4 +1,4 @@
-"""The loop's clock and order, processes that stand still and are killed, and the disk."""
+"""The loop's clock and ordering, paused and killed processes, and the disk."""
 
 from __future__ import annotations
 
@@ -16,73 +16,73 @@
 SECOND = 10**9
 
 
-def world(seed: str = "1", **links: LinkConditions) -> World:
-    made = World(seed, links)
-    made.on_process_end = lambda process: None
-    return made
+def make_world(seed: str = "1", **links: LinkConditions) -> World:
+    world = World(seed, links)
+    world.on_process_end = lambda process: None
+    return world
 
 
-def test_an_hours_sleep_takes_an_hour_of_the_clock_and_no_time() -> None:
-    made, began = world(), time.monotonic()
-    process = made.add_process("p")
+def test_an_hours_sleep_takes_an_hour_of_virtual_time_only() -> None:
+    world, began = make_world(), time.monotonic()
+    process = world.add_process("p")
     main = process.run(asyncio.sleep(3600))
-    start = made.event_queue.now_ns
-    assert made.run(main.done, start + 3601 * SECOND)
-    assert made.event_queue.now_ns - start == 3600 * SECOND
+    start = world.event_queue.now_ns
+    assert world.run(main.done, start + 3601 * SECOND)
+    assert world.event_queue.now_ns - start == 3600 * SECOND
     assert time.monotonic() - began < 5
-    made.close()
+    world.close()
 
 
-def order_of_ties(seed: str) -> list[int]:
-    made, seen = world(seed), list[int]()
+def order_of_simultaneous_timers(seed: str) -> list[int]:
+    world, observed = make_world(seed), list[int]()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         for number in range(5):
-            loop.call_at(loop.time() + 1, seen.append, number)
+            loop.call_at(loop.time() + 1, observed.append, number)
         await asyncio.sleep(2)
 
-    task = made.add_process("p").run(main())
-    made.run(task.done, made.event_queue.now_ns + 3 * SECOND)
-    made.close()
-    return seen
+    task = world.add_process("p").run(main())
+    world.run(task.done, world.event_queue.now_ns + 3 * SECOND)
+    world.close()
+    return observed
 
 
-def test_timers_of_one_instant_come_in_an_order_of_the_seeds() -> None:
-    orders = {tuple(order_of_ties(str(seed))) for seed in range(10)}
+def test_timers_of_one_instant_run_in_an_order_drawn_from_the_seed() -> None:
+    orders = {tuple(order_of_simultaneous_timers(str(seed))) for seed in range(10)}
     assert len(orders) > 3 and all(sorted(order) == [0, 1, 2, 3, 4] for order in orders)
-    assert order_of_ties("7") == order_of_ties("7")
+    assert order_of_simultaneous_timers("7") == order_of_simultaneous_timers("7")
 
 
-def test_a_loop_without_end_is_told() -> None:
+def test_an_endless_loop_is_detected() -> None:
     async def spin() -> None:
         while True:
             await asyncio.sleep(0)
 
-    made = world()
-    made.add_process("p").run(spin())
+    world = make_world()
+    world.add_process("p").run(spin())
     with pytest.raises(ClockStuck):
-        made.run(lambda: False, made.event_queue.now_ns + SECOND)
-    assert made.steps >= MAX_STEPS_PER_INSTANT
-    made.close()
+        world.run(lambda: False, world.event_queue.now_ns + SECOND)
+    assert world.steps >= MAX_STEPS_PER_INSTANT
+    world.close()
 
 
-def test_a_process_that_stands_still_finds_everything_due_when_it_wakes() -> None:
-    made, seen = world(), list[tuple[str, int]]()
-    still, other = made.add_process("still"), made.add_process("other")
+def test_a_paused_process_finds_everything_due_when_it_resumes() -> None:
+    world, observed = make_world(), list[tuple[str, int]]()
+    still, other = world.add_process("still"), world.add_process("other")
 
     async def ticks(name: str) -> None:
         for _ in range(10):
             await asyncio.sleep(0.1)
-            seen.append((name, made.event_queue.now_ns))
+            observed.append((name, world.event_queue.now_ns))
 
     tasks = [still.run(ticks("still")), other.run(ticks("other"))]
-    start = made.event_queue.now_ns
+    start = world.event_queue.now_ns
     still.pause_until(start + 5 * SECOND)
-    made.run(lambda: all(t.done() for t in tasks), start + 10 * SECOND)
-    assert all(at >= start + 5 * SECOND for name, at in seen if name == "still")
-    assert max(at for name, at in seen if name == "other") < start + 1.1 * SECOND
-    made.close()
+    world.run(lambda: all(t.done() for t in tasks), start + 10 * SECOND)
+    assert all(at >= start + 5 * SECOND for name, at in observed if name == "still")
+    assert max(at for name, at in observed if name == "other") < start + 1.1 * SECOND
+    world.close()
 
 
 class Reader(asyncio.Protocol):
@@ -96,8 +96,8 @@
         self.ends.append(type(error).__name__ if error else "closed")
 
 
-def connected(made: World, server: Process, client: Process) -> Reader:
-    """A client of a server that sent it nothing yet."""
+def connected(world: World, server: Process, client: Process) -> Reader:
+    """Connect a client to a server that sends nothing."""
     reader = Reader()
 
     async def serve() -> None:
@@ -109,44 +109,44 @@
         await asyncio.sleep(100)
 
     server.run(serve())
-    made.run(lambda: ("127.0.0.1", 99) in made.network.queues, made.event_queue.now_ns + SECOND)
+    world.run(lambda: ("127.0.0.1", 99) in world.network.queues, world.event_queue.now_ns + SECOND)
     client.run(connect())
-    made.run(lambda: False, made.event_queue.now_ns + SECOND)
+    world.run(lambda: False, world.event_queue.now_ns + SECOND)
     return reader
 
 
-def test_a_killed_process_runs_no_more_and_its_connections_are_closed_by_the_kernel() -> None:
-    made = world()
-    server, client = made.add_process("server"), made.add_process("client")
-    reader = connected(made, server, client)
-    server.signal(signal.SIGTERM)  # nobody handles it
+def test_the_kernel_closes_the_connections_of_a_killed_process() -> None:
+    world = make_world()
+    server, client = world.add_process("server"), world.add_process("client")
+    reader = connected(world, server, client)
+    server.signal(signal.SIGTERM)  # has no handler
     assert not server.alive and not server.sockets
-    made.run(lambda: bool(reader.ends), made.event_queue.now_ns + SECOND)
+    world.run(lambda: bool(reader.ends), world.event_queue.now_ns + SECOND)
     assert reader.ends[0] == "end"
-    made.close()
+    world.close()
 
 
-def test_a_link_that_is_muted_says_nothing_and_stays_open() -> None:
-    made = world()
-    server, client = made.add_process("server"), made.add_process("client")
-    reader = connected(made, server, client)
-    next(iter(made.network.streams)).silence()
+def test_a_black_holed_link_stays_open() -> None:
+    world = make_world()
+    server, client = world.add_process("server"), world.add_process("client")
+    reader = connected(world, server, client)
+    next(iter(world.network.streams)).silence()
     server.kill()
-    made.run(lambda: False, made.event_queue.now_ns + 50 * SECOND)
+    world.run(lambda: False, world.event_queue.now_ns + 50 * SECOND)
     assert reader.ends == []
-    made.close()
+    world.close()
 
 
-def test_no_further_descriptor_is_had_past_the_limit() -> None:
-    made = world()
-    process = made.add_process("p", 2)
+def test_no_descriptor_is_created_past_the_limit() -> None:
+    world = make_world()
+    process = world.add_process("p", 2)
     process.socket(), process.socket()
     with pytest.raises(OSError, match="Too many open files"):
         process.socket()
-    made.close()
+    world.close()
 
 
-def test_a_disk_fills_tears_a_write_and_can_be_unreadable() -> None:
+def test_a_disk_can_fill_up_tear_a_write_and_be_unreadable() -> None:
     disk = Disk(capacity_bytes=10)
     disk.write("a", b"12345")
     with pytest.raises(OSError, match="No space"):
