--- a/lanemux/virtual/network.py
+++ b/lanemux/virtual/network.py
@@ -284,7 +284,7 @@
         self.mailboxes: dict[Address, Mailbox] = {}
         self.streams: dict[Endpoint, None] = {}  # open streams, by the end that opened them
         self._held_until: dict[tuple[str, int], int] = {}
-        self._shut_until: dict[tuple[str, int], int] = {}
+        self._connects_dropped_until: dict[tuple[str, int], int] = {}
         self._next_port = FIRST_EPHEMERAL_PORT
 
     @property
@@ -303,7 +303,7 @@
 
     def drop_connects(self, kind: str, to: int, until_ns: int) -> None:
         """Fault: drop the SYNs of new connections to one target."""
-        self._shut_until[kind, to] = max(until_ns, self._shut_until.get((kind, to), 0))
+        self._connects_dropped_until[kind, to] = max(until_ns, self._connects_dropped_until.get((kind, to), 0))
 
     def held_until(self, label: Label) -> int:
         """When traffic on a link resumes; not in the future if it is not held."""
@@ -335,7 +335,7 @@
                 return
             queue = self.queues.get(to)
             lost = (
-                self._shut_until.get((label.kind, label.target), 0) > self.now_ns
+                self._connects_dropped_until.get((label.kind, label.target), 0) > self.now_ns
                 or self.held_until(label) > self.now_ns
             )
             full = queue is not None and len(queue.waiting) > queue.backlog
--- a/tests/virtual/planted.py
+++ b/tests/virtual/planted.py
@@ -92,7 +92,9 @@
         "moot-untold",
         "regression: a Send that can't be carried out gets its Outcome",
         NODE,
-        "            self.feed(api.Outcome(action.request, attempt_number, action.upstream, api.Result.NOT_SENT, 0, active is None))\n",
+        "            self.feed(\n"
+        "                api.Outcome(action.request, attempt_number, action.upstream, api.Result.NOT_SENT, 0, active is None)\n"
+        "            )\n",
         "",
     ),
     _one(
