--- a/lanemux/virtual/balancer.py
+++ b/lanemux/virtual/balancer.py
@@ -8,7 +8,7 @@
 from lanemux.rehearsal.balancers import Place
 from lanemux.rehearsal.books import Life
 from lanemux.rehearsal.registry import ListAgent
-from lanemux.virtual.observed import ModuleMonitor
+from lanemux.virtual.module_monitor import ModuleMonitor
 from lanemux.virtual.process import Process
 
 CONFIGURATION = "/etc/balancer.json"  # on the balancer's virtual disk
--- a/lanemux/virtual/leftovers.py
+++ b/lanemux/virtual/leftovers.py
@@ -9,7 +9,7 @@
 from lanemux.net.node import Node
 from lanemux.policy import Balancer
 from lanemux.storm.module import StormModule
-from lanemux.virtual.observed import ModuleMonitor
+from lanemux.virtual.module_monitor import ModuleMonitor
 from lanemux.virtual.process import Process
 
 HEALTH = {api.State.READY: "up", api.State.DRAINING: "draining"}
--- a/lanemux/virtual/simulation.py
+++ b/lanemux/virtual/simulation.py
@@ -45,8 +45,8 @@
 from lanemux.virtual.faults.box import BoxFaults
 from lanemux.virtual.faults.client import ClientFaults
 from lanemux.virtual.faults.discovery import DiscoveryFaults
+from lanemux.virtual.module_monitor import TIMEOUT_GRACE_NS, ModuleMonitor, ModuleWrapper
 from lanemux.virtual.network import Address, Label
-from lanemux.virtual.observed import TIMEOUT_GRACE_NS, ModuleMonitor, ModuleWrapper
 from lanemux.virtual.process import Process
 from lanemux.virtual.rule_checker import Exemptions, RuleChecker
 from lanemux.virtual.script import BOX_FAULTS, EVENT_TARGET, Fault, Script, WorldSetup, world_setup
