--- a/tests/virtual/test_rule_checker.py
+++ b/tests/virtual/test_rule_checker.py
@@ -14,7 +14,11 @@
 
 def make_checker(exemptions: Exemptions | None = None) -> tuple[RuleChecker, BoxRecords, CallerRecords]:
     boxes, callers = BoxRecords(), CallerRecords()
-    return RuleChecker(draw_plan(world_setup(1).scenario, 1), boxes, callers, exemptions or Exemptions()), boxes, callers
+    return (
+        RuleChecker(draw_plan(world_setup(1).scenario, 1), boxes, callers, exemptions or Exemptions()),
+        boxes,
+        callers,
+    )
 
 
 def attempt(at_ns: int, name: str = "r", box: int = 0, open_ns: int = 0, how: str = "answered") -> Attempt:
