--- a/lanemux/rehearsal/calls/command.py
+++ b/lanemux/rehearsal/calls/command.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from lanemux.rehearsal.calls.library import Counts, NoCompiler, build
-from lanemux.rehearsal.calls.life import Life, play
+from lanemux.rehearsal.calls.lifecycle import LifecycleResult, play
 from lanemux.rehearsal.calls.rules import BadRules, Rule, combination, one_by_one, read, written
 from lanemux.rehearsal.looks import LatenessLog
 
@@ -52,7 +52,7 @@
     if options.json:
         Path(options.json).write_text(json.dumps({"lives": [asdict(life) for life in played]}, indent=1) + "\n")
     _report(lives, played, plain.counts, time.monotonic() - began)
-    if any(life.bad for life in played):
+    if any(life.has_faults for life in played):
         return SOME_BAD
     return NOT_VALID if all(life.not_valid for life in played) else ALL_GOOD
 
@@ -80,13 +80,13 @@
     folder: Path,
     at_once: int,
     progress: bool = False,
-) -> list[Life]:
+) -> list[LifecycleResult]:
     """Each life, so many at once; in the order of `lives`."""
-    played: dict[int, Life] = {}
+    played: dict[int, LifecycleResult] = {}
     waiting = iter(enumerate(lives))
     lateness = LatenessLog(asyncio.get_running_loop())
 
-    async def play_once(number: int, rules: Sequence[Rule]) -> Life:
+    async def play_once(number: int, rules: Sequence[Rule]) -> LifecycleResult:
         place = folder / f"life-{number}"
         place.mkdir(exist_ok=True)
         try:
@@ -94,12 +94,12 @@
         finally:
             shutil.rmtree(place, ignore_errors=True)
 
-    async def play_until_valid(number: int, rules: Sequence[Rule]) -> Life:
+    async def play_until_valid(number: int, rules: Sequence[Rule]) -> LifecycleResult:
         held_up: list[str] = []
         for _ in range(TRIES):
             life = await play_once(number, rules)
             life.held_up = held_up
-            if life.bad or not life.not_valid:
+            if life.has_faults or not life.not_valid:
                 break
             held_up.append(life.not_valid)
             await asyncio.sleep(REST_S)
@@ -109,7 +109,7 @@
         for number, rules in waiting:
             played[number] = await play_until_valid(number, rules)
             if progress and len(played) % PROGRESS_EVERY == 0:
-                bad = sum(life.bad for life in played.values())
+                bad = sum(life.has_faults for life in played.values())
                 print(f"{len(played)} of {len(lives)} lives played, {bad} bad", flush=True)
 
     async with asyncio.TaskGroup() as group:
@@ -124,8 +124,10 @@
     return f"127.{FIRST_NETWORK + os.getpid() % NETWORKS}.{number // HOSTS % HOSTS}.{1 + number % HOSTS}"
 
 
-def _report(lives: Sequence[Sequence[Rule]], played: Sequence[Life], counts: dict[str, Counts], took_s: float) -> None:
-    bad = [(rules, life) for rules, life in zip(lives, played, strict=True) if life.bad]
+def _report(
+    lives: Sequence[Sequence[Rule]], played: Sequence[LifecycleResult], counts: dict[str, Counts], took_s: float
+) -> None:
+    bad = [(rules, life) for rules, life in zip(lives, played, strict=True) if life.has_faults]
     for rules, life in bad[:SHOWN]:
         print(f"BAD {'; '.join(life.rules)}: {'; '.join(dict.fromkeys(life.faults))}")
         print(f"    replay: {written(rules)}")
@@ -134,7 +136,7 @@
     singles = [(rules[0], life) for rules, life in zip(lives, played, strict=True) if len(rules) == 1]
     if len(singles) == len(lives):
         _table(singles, counts)
-    not_valid = Counter(life.not_valid for life in played if life.not_valid and not life.bad)
+    not_valid = Counter(life.not_valid for life in played if life.not_valid and not life.has_faults)
     for reason, number in not_valid.items():
         print(f"{number} not valid: {reason}")
     again = [reason for life in played if not life.not_valid for reason in life.held_up]
@@ -148,13 +150,13 @@
     )
 
 
-def _table(singles: Iterable[tuple[Rule, Life]], counts: dict[str, Counts]) -> None:
+def _table(singles: Iterable[tuple[Rule, LifecycleResult]], counts: dict[str, Counts]) -> None:
     """A line for each (call, error) pair."""
     rows: dict[tuple[str, str], list[int]] = {}
     for rule, life in singles:
         row = rows.setdefault((rule.kind, rule.error), [0, 0])
         row[0] += 1
-        row[1] += life.bad
+        row[1] += life.has_faults
     for (kind, error), (number, bad) in rows.items():
         count = counts[kind]
         print(f"{kind:12} {error:14} calls {count.before:4} + {count.since:4}  lives {number:3}  bad {bad}")
--- a/lanemux/rehearsal/calls/life.py
+++ b/lanemux/rehearsal/calls/lifecycle.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Life:
+class LifecycleResult:
     """How one life went."""
 
     rules: list[str]
@@ -52,16 +52,16 @@
     counts: dict[str, Counts] = field(default_factory=dict)
     log: list[str] = field(default_factory=list)
 
-    def accuse(self, fault: str, shortage: Shortage | None = None) -> None:
+    def record_fault(self, fault: str, shortage: HostDelays | None = None) -> None:
         """Note what was wrong. Where this machine was slow meanwhile, it accuses nobody, but nor is the life good."""
         text = f"{fault} ({shortage})" if shortage is not None else fault
-        if shortage is not None and shortage.explains:
+        if shortage is not None and shortage.over_limit:
             self.not_valid = text
         else:
             self.faults.append(text)
 
     @property
-    def bad(self) -> bool:
+    def has_faults(self) -> bool:
         """Something was wrong that this machine does not explain."""
         return bool(self.faults)
 
@@ -71,25 +71,25 @@
 
 
 @dataclass(frozen=True)
-class Shortage:
+class HostDelays:
     """What a span lacked of this machine."""
 
-    kit_late_s: float
-    balancer_waited_s: float  # for a processor
+    harness_late_s: float
+    balancer_cpu_wait_s: float  # for a processor
     stolen_s: float  # by the machine's host, the mean of its processors
     span_s: float = 1.0
 
     @property
-    def explains(self) -> bool:
+    def over_limit(self) -> bool:
         """So much of it that what went wrong in the span accuses nobody."""
         most_s = WAITED_MOST * max(1.0, self.span_s)
-        late = self.kit_late_s > max(LATE_MOST_NS / SECOND, WAITED_MOST * self.span_s)
-        return late or self.balancer_waited_s > most_s or self.stolen_s > most_s
+        late = self.harness_late_s > max(LATE_MOST_NS / SECOND, WAITED_MOST * self.span_s)
+        return late or self.balancer_cpu_wait_s > most_s or self.stolen_s > most_s
 
     def __str__(self) -> str:
         return (
-            f"kit late {self.kit_late_s * 1000:.0f} ms, balancer kept from a processor "
-            f"{self.balancer_waited_s * 1000:.0f} ms, processors stolen {self.stolen_s * 1000:.0f} ms"
+            f"kit late {self.harness_late_s * 1000:.0f} ms, balancer kept from a processor "
+            f"{self.balancer_cpu_wait_s * 1000:.0f} ms, processors stolen {self.stolen_s * 1000:.0f} ms"
         )
 
 
@@ -159,7 +159,7 @@
     }
 
 
-class Starvation:
+class HostDelayMonitor:
     """Whether this machine, and not the balancer, was slow in a span: the kit's loop was late, the balancer waited for
     a processor, or the machine's host took its processors. The bounds are those of the rehearsals."""
 
@@ -168,7 +168,7 @@
         self._begun_s = asyncio.get_running_loop().time()
         self._waited_ns, self._stolen_s = waited_ns(pid), stolen_s()
 
-    async def look(self) -> Shortage:
+    async def measure(self) -> HostDelays:
         """What the span lacked so far. The kernel counts a wait for a processor once it is over: the end of one that
         goes on is waited for, a while."""
         loop = asyncio.get_running_loop()
@@ -176,9 +176,9 @@
         first_ns, end_s = waited_ns(self.pid), loop.time() + WAIT_ENDS_WITHIN_S
         while is_runnable(self.pid) and waited_ns(self.pid) == first_ns and loop.time() < end_s:
             await asyncio.sleep(LOOK_S)
-        return Shortage(
-            kit_late_s=late_s,
-            balancer_waited_s=(waited_ns(self.pid) - self._waited_ns) / SECOND,
+        return HostDelays(
+            harness_late_s=late_s,
+            balancer_cpu_wait_s=(waited_ns(self.pid) - self._waited_ns) / SECOND,
             stolen_s=stolen_s() - self._stolen_s,
             span_s=span_s,
         )
@@ -187,7 +187,7 @@
 class Client:
     """One connection of a client."""
 
-    def __init__(self, name: str, host: str, life: Life, starvation: Callable[[], Starvation]) -> None:
+    def __init__(self, name: str, host: str, life: LifecycleResult, starvation: Callable[[], HostDelayMonitor]) -> None:
         """`name`: which of a life's clients, for who reads of its faults."""
         self.name = name
         self._host, self._life, self._starvation = host, life, starvation
@@ -215,7 +215,7 @@
         elif problem:
             where = f"request of {self.name} on a {'kept' if kept else 'new'} connection"
             evidence = f"{self._connection()}; {state_of(starvation.pid)}"
-            self._life.accuse(f"{where}: {problem} [{evidence}]", await starvation.look())
+            self._life.record_fault(f"{where}: {problem} [{evidence}]", await starvation.measure())
             self.close()
         return True
 
@@ -286,9 +286,9 @@
     host: str,
     lateness: LatenessLog,
     seed: int = 0,
-) -> Life:
+) -> LifecycleResult:
     """Start `command` on that loopback host, ask it, reload it, end it, while calls fail as the rules say."""
-    life = Life([str(rule) for rule in rules])
+    life = LifecycleResult([str(rule) for rule in rules])
     stand_ins = StandIns(host)
     counts = folder / "counts"
     try:
@@ -296,7 +296,7 @@
         told = environment(library, rules, counts, seed)
         told["RELAY_ADMIN_ADDR"] = f"{host}:{PORT + 2}"
         async with _process(command, _configuration(host, stand_ins, discovery), folder, told) as process:
-            await _live(process, life, host, lambda: Starvation(lateness, process.pid))
+            await _live(process, life, host, lambda: HostDelayMonitor(lateness, process.pid))
     except OSError as error:
         life.not_valid = f"a stand-in: {error!r}; {life.faults}"
         life.faults.clear()
@@ -308,14 +308,16 @@
     return life
 
 
-async def _live(process: subprocess.Popen[bytes], life: Life, host: str, starvation: Callable[[], Starvation]) -> None:
+async def _live(
+    process: subprocess.Popen[bytes], life: LifecycleResult, host: str, starvation: Callable[[], HostDelayMonitor]
+) -> None:
     starting = starvation()
     if not await _ready(process, life, host):
         life.status = process.poll()
         if life.status is None:
-            life.accuse(f"not ready [{state_of(process.pid)}]", await starting.look())
+            life.record_fault(f"not ready [{state_of(process.pid)}]", await starting.measure())
         else:
-            life.accuse(f"ended with status {life.status} before it was ready")
+            life.record_fault(f"ended with status {life.status} before it was ready")
         return
     kept, resting = (
         Client("the second client", host, life, starvation),
@@ -347,7 +349,7 @@
             peer.sendto(b"x", (host, PORT + 1))
 
 
-async def _ready(process: subprocess.Popen[bytes], life: Life, host: str) -> bool:
+async def _ready(process: subprocess.Popen[bytes], life: LifecycleResult, host: str) -> bool:
     loop = asyncio.get_running_loop()
     begun_s = loop.time()
     while process.poll() is None and loop.time() < begun_s + READY_WITHIN_S:
@@ -369,7 +371,11 @@
 
 
 async def _end(
-    process: subprocess.Popen[bytes], life: Life, host: str, kept: Client, starvation: Callable[[], Starvation]
+    process: subprocess.Popen[bytes],
+    life: LifecycleResult,
+    host: str,
+    kept: Client,
+    starvation: Callable[[], HostDelayMonitor],
 ) -> None:
     """SIGTERM, further signals behind it, and requests on the open connection for as long as it stays."""
     loop = asyncio.get_running_loop()
@@ -385,6 +391,8 @@
             os.kill(process.pid, signal.SIGHUP)
     life.status = process.poll()
     if life.status is None:
-        life.accuse(f"still there {ENDED_WITHIN_S} s after SIGTERM [{state_of(process.pid)}]", await ending.look())
+        life.record_fault(
+            f"still there {ENDED_WITHIN_S} s after SIGTERM [{state_of(process.pid)}]", await ending.measure()
+        )
     elif life.status:
         life.faults.append(f"ended with status {life.status} after SIGTERM")
