--- a/lanemux/rehearsal/calls/__init__.py
+++ b/lanemux/rehearsal/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Lives of one balancer in which chosen calls of the C library fail: every call, one after the other."""
+"""Fault injection into the C library: runs of one balancer, from start to exit, in which chosen calls fail in turn."""
--- a/lanemux/rehearsal/calls/command.py
+++ b/lanemux/rehearsal/calls/command.py
@@ -1,4 +1,4 @@
-"""`lanemux soak --every-call`: lives of one balancer, each with other calls of the C library failing."""
+"""`lanemux soak --every-call`: runs of one balancer from start to exit, each with different C library calls failing."""
 
 from __future__ import annotations
 
@@ -16,168 +16,191 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from lanemux.rehearsal.calls.library import Counts, NoCompiler, build
-from lanemux.rehearsal.calls.lifecycle import LifecycleResult, play
-from lanemux.rehearsal.calls.rules import BadRules, Rule, combination, one_by_one, read, written
+from lanemux.rehearsal.calls.library import CallCounts, CompilerError, build_library
+from lanemux.rehearsal.calls.lifecycle import LifecycleResult, run_lifecycle
+from lanemux.rehearsal.calls.rules import (
+    BadRules,
+    Rule,
+    format_rules,
+    parse_rules,
+    random_combination,
+    single_failures,
+)
 from lanemux.rehearsal.looks import LatenessLog
 
-ALL_GOOD, SOME_BAD, BAD_USE, NOT_VALID = 0, 1, 2, 3
-PLACES = 60  # of one kind of call that fail, a life each
-AT_ONCE = 12  # lives
-TRIES = 3  # of a life that can't be judged, since a stand-in or this machine failed it
-REST_S = 1.0  # before it is played again
-PROGRESS_EVERY = 200  # lives
-HOSTS = 250  # in one of the loopback networks 127.x.y.0
-FIRST_NETWORK, NETWORKS = 192, 62  # of 127.x.0.0: one a process, so that two of them meet hardly ever
-SHOWN = 40  # bad lives that are printed
+ALL_PASSED, SOME_FAILED, USAGE_ERROR, NOT_VALID = 0, 1, 2, 3
+POSITIONS_PER_KIND = 60  # calls of one kind that are made to fail, each in a run of its own
+CONCURRENT_RUNS = 12
+MAX_TRIES = 3  # of a run that can't be judged because a stub server or this machine failed
+RETRY_PAUSE_S = 1.0
+PROGRESS_INTERVAL = 200  # runs between two progress lines
+MAX_OCTET = 250  # addresses used in each loopback network 127.x.y.0, and networks used in 127.x.0.0
+FIRST_NETWORK, NETWORKS = 192, 62  # the x of 127.x.0.0, chosen by process id: two processes rarely share one
+MAX_SHOWN = 40  # failed runs that are printed
 
 
 def main(argv: Sequence[str]) -> int:
-    """Play the lives. 0: none was bad; 1: some were; 2: bad use; 3: nothing could be judged."""
+    """Run the command. Exit status 0: no run failed; 1: some did; 2: usage error; 3: no run could be judged."""
     options = _options(argv)
-    began = time.monotonic()
+    started = time.monotonic()
     command = options.command or [sys.executable, "-m", "lanemux"]
     with tempfile.TemporaryDirectory(prefix="calls-") as folder:
         try:
-            library = build(Path(folder))
-            plain = asyncio.run(play_all(command, [[]], library, Path(folder), 1))[0]
-            if plain.faults or plain.not_valid:
-                print(f"lanemux: a life in which nothing fails: {plain.faults or plain.not_valid}", file=sys.stderr)
+            library = build_library(Path(folder))
+            baseline = asyncio.run(run_lifecycles(command, [[]], library, Path(folder), 1))[0]
+            if baseline.faults or baseline.not_valid:
+                print(
+                    f"lanemux: the baseline run, in which no call fails: {baseline.faults or baseline.not_valid}",
+                    file=sys.stderr,
+                )
                 return NOT_VALID
-            lives = _drawn(options, plain.counts)
-        except (NoCompiler, BadRules, ValueError) as error:
+            rule_sets = _choose_rule_sets(options, baseline.counts)
+        except (CompilerError, BadRules, ValueError) as error:
             print(f"lanemux: {error}", file=sys.stderr)
-            return BAD_USE
-        played = asyncio.run(play_all(command, lives, library, Path(folder), options.at_once, not options.quiet))
+            return USAGE_ERROR
+        results = asyncio.run(
+            run_lifecycles(command, rule_sets, library, Path(folder), options.at_once, not options.quiet)
+        )
     if options.json:
-        Path(options.json).write_text(json.dumps({"lives": [asdict(life) for life in played]}, indent=1) + "\n")
-    _report(lives, played, plain.counts, time.monotonic() - began)
-    if any(life.has_faults for life in played):
-        return SOME_BAD
-    return NOT_VALID if all(life.not_valid for life in played) else ALL_GOOD
+        Path(options.json).write_text(json.dumps({"lives": [asdict(result) for result in results]}, indent=1) + "\n")
+    _report(rule_sets, results, baseline.counts, time.monotonic() - started)
+    if any(result.has_faults for result in results):
+        return SOME_FAILED
+    return NOT_VALID if all(result.not_valid for result in results) else ALL_PASSED
 
 
-def _drawn(options: argparse.Namespace, counts: dict[str, Counts]) -> list[list[Rule]]:
-    """The lives that are asked for."""
+def _choose_rule_sets(options: argparse.Namespace, counts: dict[str, CallCounts]) -> list[list[Rule]]:
+    """The rules of each run that the options ask for; `counts` are those of the baseline run."""
     calls = {kind: count.since for kind, count in counts.items()}
     if options.replay is not None:
-        return [read(options.replay)] * options.times
+        return [parse_rules(options.replay)] * options.times
     if options.combinations:
         first, _, last = options.combinations.partition("-")
-        return [combination(seed, calls) for seed in range(int(first), int(last or first) + 1)]
-    lives = one_by_one(calls, options.places)
+        return [random_combination(seed, calls) for seed in range(int(first), int(last or first) + 1)]
+    rule_sets = single_failures(calls, options.places)
     if options.kinds:
-        lives = [rules for rules in lives if rules[0].kind in options.kinds]
+        rule_sets = [rules for rules in rule_sets if rules[0].kind in options.kinds]
     if options.sample is not None:
-        lives = random.Random(f"sample/{options.seed}").sample(lives, min(options.sample, len(lives)))
-    return lives
+        rule_sets = random.Random(f"sample/{options.seed}").sample(rule_sets, min(options.sample, len(rule_sets)))
+    return rule_sets
 
 
-async def play_all(
+async def run_lifecycles(
     command: Sequence[str],
-    lives: Sequence[Sequence[Rule]],
+    rule_sets: Sequence[Sequence[Rule]],
     library: Path,
     folder: Path,
     at_once: int,
     progress: bool = False,
 ) -> list[LifecycleResult]:
-    """Each life, so many at once; in the order of `lives`."""
-    played: dict[int, LifecycleResult] = {}
-    waiting = iter(enumerate(lives))
+    """Run one lifecycle per rule set, `at_once` of them concurrently; the results are in the order of `rule_sets`."""
+    results: dict[int, LifecycleResult] = {}
+    pending = iter(enumerate(rule_sets))
     lateness = LatenessLog(asyncio.get_running_loop())
 
-    async def play_once(number: int, rules: Sequence[Rule]) -> LifecycleResult:
-        place = folder / f"life-{number}"
-        place.mkdir(exist_ok=True)
+    async def run_once(number: int, rules: Sequence[Rule]) -> LifecycleResult:
+        run_folder = folder / f"life-{number}"
+        run_folder.mkdir(exist_ok=True)
         try:
-            return await play(command, rules, library, place, _host(number), lateness, number)
+            return await run_lifecycle(command, rules, library, run_folder, _host(number), lateness, number)
         finally:
-            shutil.rmtree(place, ignore_errors=True)
+            shutil.rmtree(run_folder, ignore_errors=True)
 
-    async def play_until_valid(number: int, rules: Sequence[Rule]) -> LifecycleResult:
+    async def run_until_valid(number: int, rules: Sequence[Rule]) -> LifecycleResult:
         held_up: list[str] = []
-        for _ in range(TRIES):
-            life = await play_once(number, rules)
-            life.held_up = held_up
-            if life.has_faults or not life.not_valid:
+        for _ in range(MAX_TRIES):
+            result = await run_once(number, rules)
+            result.held_up = held_up
+            if result.has_faults or not result.not_valid:
                 break
-            held_up.append(life.not_valid)
-            await asyncio.sleep(REST_S)
-        return life
+            held_up.append(result.not_valid)
+            await asyncio.sleep(RETRY_PAUSE_S)
+        return result
 
-    async def work() -> None:
-        for number, rules in waiting:
-            played[number] = await play_until_valid(number, rules)
-            if progress and len(played) % PROGRESS_EVERY == 0:
-                bad = sum(life.has_faults for life in played.values())
-                print(f"{len(played)} of {len(lives)} lives played, {bad} bad", flush=True)
+    async def worker() -> None:
+        for number, rules in pending:
+            results[number] = await run_until_valid(number, rules)
+            if progress and len(results) % PROGRESS_INTERVAL == 0:
+                failed = sum(result.has_faults for result in results.values())
+                print(f"{len(results)} of {len(rule_sets)} runs done, {failed} failed", flush=True)
 
     async with asyncio.TaskGroup() as group:
         for _ in range(at_once):
-            group.create_task(work())
+            group.create_task(worker())
     lateness.stop()
-    return [played[number] for number in range(len(lives))]
+    return [results[number] for number in range(len(rule_sets))]
 
 
 def _host(number: int) -> str:
-    """The loopback host of a life's own."""
-    return f"127.{FIRST_NETWORK + os.getpid() % NETWORKS}.{number // HOSTS % HOSTS}.{1 + number % HOSTS}"
+    """The loopback address that only the run of this number uses."""
+    return f"127.{FIRST_NETWORK + os.getpid() % NETWORKS}.{number // MAX_OCTET % MAX_OCTET}.{1 + number % MAX_OCTET}"
 
 
 def _report(
-    lives: Sequence[Sequence[Rule]], played: Sequence[LifecycleResult], counts: dict[str, Counts], took_s: float
+    rule_sets: Sequence[Sequence[Rule]],
+    results: Sequence[LifecycleResult],
+    counts: dict[str, CallCounts],
+    took_s: float,
 ) -> None:
-    bad = [(rules, life) for rules, life in zip(lives, played, strict=True) if life.has_faults]
-    for rules, life in bad[:SHOWN]:
-        print(f"BAD {'; '.join(life.rules)}: {'; '.join(dict.fromkeys(life.faults))}")
-        print(f"    replay: {written(rules)}")
-        for line in life.log[-3:]:
+    failed = [(rules, result) for rules, result in zip(rule_sets, results, strict=True) if result.has_faults]
+    for rules, result in failed[:MAX_SHOWN]:
+        print(f"BAD {'; '.join(result.rules)}: {'; '.join(dict.fromkeys(result.faults))}")
+        print(f"    replay: {format_rules(rules)}")
+        for line in result.log[-3:]:
             print(f"    | {line}")
-    singles = [(rules[0], life) for rules, life in zip(lives, played, strict=True) if len(rules) == 1]
-    if len(singles) == len(lives):
-        _table(singles, counts)
-    not_valid = Counter(life.not_valid for life in played if life.not_valid and not life.has_faults)
+    singles = [(rules[0], result) for rules, result in zip(rule_sets, results, strict=True) if len(rules) == 1]
+    if len(singles) == len(rule_sets):
+        _print_table(singles, counts)
+    not_valid = Counter(result.not_valid for result in results if result.not_valid and not result.has_faults)
     for reason, number in not_valid.items():
         print(f"{number} not valid: {reason}")
-    again = [reason for life in played if not life.not_valid for reason in life.held_up]
-    for reason in again[:SHOWN]:
-        print(f"played again: {reason}")
-    unmet = sum(not life.failed_calls and not life.not_valid for life in played)
+    retry_reasons = [reason for result in results if not result.not_valid for reason in result.held_up]
+    for reason in retry_reasons[:MAX_SHOWN]:
+        print(f"run again: {reason}")
+    without_failure = sum(not result.failed_calls and not result.not_valid for result in results)
     print(
-        f"{len(played)} lives, {sum(not_valid.values())} not valid, {len(bad)} bad, "
-        f"{len(again)} played again; "
-        f"in {unmet} no call failed, since none of its kind came in its span; {took_s:.0f} s"
+        f"{len(results)} runs, {sum(not_valid.values())} not valid, {len(failed)} failed, "
+        f"{len(retry_reasons)} repeated; "
+        f"in {without_failure} no call failed, because none of that kind fell in its span; {took_s:.0f} s"
     )
 
 
-def _table(singles: Iterable[tuple[Rule, LifecycleResult]], counts: dict[str, Counts]) -> None:
-    """A line for each (call, error) pair."""
+def _print_table(singles: Iterable[tuple[Rule, LifecycleResult]], counts: dict[str, CallCounts]) -> None:
+    """Print a line for each (call, error) pair."""
     rows: dict[tuple[str, str], list[int]] = {}
-    for rule, life in singles:
+    for rule, result in singles:
         row = rows.setdefault((rule.kind, rule.error), [0, 0])
         row[0] += 1
-        row[1] += life.has_faults
-    for (kind, error), (number, bad) in rows.items():
+        row[1] += result.has_faults
+    for (kind, error), (number, failed) in rows.items():
         count = counts[kind]
-        print(f"{kind:12} {error:14} calls {count.before:4} + {count.since:4}  lives {number:3}  bad {bad}")
+        print(f"{kind:12} {error:14} calls {count.before:4} + {count.since:4}  runs {number:3}  failed {failed}")
 
 
 def _options(argv: Sequence[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         "lanemux soak --every-call",
         allow_abbrev=False,
-        description="Play lives of one balancer in each of which other calls of the C library fail.",
+        description="Run one balancer from start to exit, many times, each time with other C library calls failing.",
     )
     parser.add_argument("--every-call", action="store_true", help=argparse.SUPPRESS)
     parser.add_argument("--kinds", type=lambda text: text.split(","), metavar="A,B", help="only calls of these kinds")
-    parser.add_argument("--places", type=int, default=PLACES, metavar="N", help="of each kind that fail, a life each")
-    parser.add_argument("--sample", type=int, metavar="N", help="only so many of the lives, drawn by --seed")
+    parser.add_argument(
+        "--places",
+        type=int,
+        default=POSITIONS_PER_KIND,
+        metavar="N",
+        help="how many calls of each kind fail, each in a run of its own",
+    )
+    parser.add_argument("--sample", type=int, metavar="N", help="only N of the runs, drawn by --seed")
     parser.add_argument("--seed", type=int, default=1, metavar="N")
-    parser.add_argument("--combinations", metavar="A-B", help="two or three failures a life, drawn from these seeds")
-    parser.add_argument("--replay", metavar="RULES", help="one life, by the text that a bad one was printed with")
-    parser.add_argument("--times", type=int, default=1, metavar="N", help="play the life of --replay so often")
-    parser.add_argument("--at-once", type=int, default=AT_ONCE, metavar="N", help="lives beside each other")
+    parser.add_argument("--combinations", metavar="A-B", help="two or three failures per run, drawn from these seeds")
+    parser.add_argument("--replay", metavar="RULES", help="one run, with the rules printed for a failed one")
+    parser.add_argument("--times", type=int, default=1, metavar="N", help="repeat the run of --replay N times")
+    parser.add_argument("--at-once", type=int, default=CONCURRENT_RUNS, metavar="N", help="concurrent runs")
     parser.add_argument("--json", metavar="FILE")
-    parser.add_argument("--quiet", action="store_true", help="no progress")
-    parser.add_argument("--command", nargs=argparse.REMAINDER, metavar="WORD", help="what starts one balancer")
+    parser.add_argument("--quiet", action="store_true", help="print no progress")
+    parser.add_argument(
+        "--command", nargs=argparse.REMAINDER, metavar="WORD", help="the command that starts a balancer"
+    )
     return parser.parse_args(argv)
--- a/lanemux/rehearsal/calls/lifecycle.py
+++ b/lanemux/rehearsal/calls/lifecycle.py
@@ -1,4 +1,4 @@
-"""One life of a balancer, from its start to its end, among stand-ins that nothing fails."""
+"""One run of a balancer process, from start to exit, against stub servers whose calls are not made to fail."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
 
 from lanemux.rehearsal.balancers import stolen_s, waited_ns
 from lanemux.rehearsal.calls import tcp_table
-from lanemux.rehearsal.calls.library import Counts, environment, read_counts
-from lanemux.rehearsal.calls.process_state import is_runnable, state_of
+from lanemux.rehearsal.calls.library import CallCounts, environment, read_counts
+from lanemux.rehearsal.calls.process_state import describe_process, is_runnable
 from lanemux.rehearsal.calls.rules import Rule
 from lanemux.rehearsal.framing import Framer, Message, Unreadable
 from lanemux.rehearsal.looks import LatenessLog
 from lanemux.rehearsal.plan import SECOND
 from lanemux.rehearsal.validity import LATE_MOST_NS, WAITED_MOST
 
-READY_WITHIN_S = 10.0  # of the operators' gate, for a restarted balancer
+READY_TIMEOUT_S = 10.0  # the operators' acceptance limit for a restarted balancer
 DEADLINE_MS = 800
-ANSWER_WITHIN_S = DEADLINE_MS / 1000 + 0.5  # a final answer may be so late
-ENDED_WITHIN_S = 4.5  # after SIGTERM; whatever is open is given up before
-NEW_CONNECTIONS_S = 0.3  # after SIGTERM they go on coming for so long
-LOOK_S = 0.02
-WAIT_ENDS_WITHIN_S = 2.0  # a balancer's wait for a processor that goes on as a fault is noted
-PORT = 3000
+ANSWER_TIMEOUT_S = DEADLINE_MS / 1000 + 0.5  # a final answer may be 0.5 s late
+EXIT_TIMEOUT_S = 4.5  # after SIGTERM; the balancer abandons open requests before that
+NEW_CONNECTIONS_S = 0.3  # how long clients go on connecting after SIGTERM
+POLL_INTERVAL_S = 0.02
+CPU_WAIT_SETTLE_S = 2.0  # how long to let a wait for a processor end that is in progress when a fault is recorded
+BALANCER_PORT = 3000
 NO_ANSWER = "no answer"
-KEPT_LINES = 40  # of the log of a balancer whose life was bad
+MAX_LOG_LINES = 40  # last log lines kept of a run that failed or could not be judged
 READ_BYTES = 64 * 1024
-_numbers = itertools.count(1)
+_request_ids = itertools.count(1)
 
 
 @dataclass
 class LifecycleResult:
-    """How one life went."""
+    """The result of one run."""
 
     rules: list[str]
-    faults: list[str] = field(default_factory=list)  # what was wrong with it; none: it was a good one
-    not_valid: str = ""  # something of the stand-ins or of this machine went wrong: it accuses nobody
-    held_up: list[str] = field(default_factory=list)  # why earlier plays of it could not be judged
+    faults: list[str] = field(default_factory=list)  # what went wrong; empty for a run that passed
+    not_valid: str = ""  # why the run can't be judged: a stub server or this machine failed
+    held_up: list[str] = field(default_factory=list)  # why earlier tries of the same run could not be judged
     status: int | None = None
     ready_s: float = 0.0
-    answered: dict[int, int] = field(default_factory=dict)  # requests by the status of their answer
-    counts: dict[str, Counts] = field(default_factory=dict)
+    answered: dict[int, int] = field(default_factory=dict)  # number of answers by status
+    counts: dict[str, CallCounts] = field(default_factory=dict)
     log: list[str] = field(default_factory=list)
 
-    def record_fault(self, fault: str, shortage: HostDelays | None = None) -> None:
-        """Note what was wrong. Where this machine was slow meanwhile, it accuses nobody, but nor is the life good."""
-        text = f"{fault} ({shortage})" if shortage is not None else fault
-        if shortage is not None and shortage.over_limit:
+    def record_fault(self, fault: str, delays: HostDelays | None = None) -> None:
+        """Record a failure, or mark the run as not valid if the host's delays may have caused it."""
+        text = f"{fault} ({delays})" if delays is not None else fault
+        if delays is not None and delays.over_limit:
             self.not_valid = text
         else:
             self.faults.append(text)
 
     @property
     def has_faults(self) -> bool:
-        """Something was wrong that this machine does not explain."""
+        """Whether something went wrong that the host's delays don't explain."""
         return bool(self.faults)
 
     @property
@@ -72,19 +72,19 @@
 
 @dataclass(frozen=True)
 class HostDelays:
-    """What a span lacked of this machine."""
+    """How long this machine delayed the harness and the balancer in a span of time."""
 
     harness_late_s: float
-    balancer_cpu_wait_s: float  # for a processor
-    stolen_s: float  # by the machine's host, the mean of its processors
+    balancer_cpu_wait_s: float  # runnable, but without a processor
+    stolen_s: float  # steal time taken by the hypervisor, the mean of the processors
     span_s: float = 1.0
 
     @property
     def over_limit(self) -> bool:
-        """So much of it that what went wrong in the span accuses nobody."""
-        most_s = WAITED_MOST * max(1.0, self.span_s)
+        """Whether a failure in the span can't be attributed to the balancer. The limits are those of rehearsals."""
+        limit_s = WAITED_MOST * max(1.0, self.span_s)
         late = self.harness_late_s > max(LATE_MOST_NS / SECOND, WAITED_MOST * self.span_s)
-        return late or self.balancer_cpu_wait_s > most_s or self.stolen_s > most_s
+        return late or self.balancer_cpu_wait_s > limit_s or self.stolen_s > limit_s
 
     def __str__(self) -> str:
         return (
@@ -93,8 +93,8 @@
         )
 
 
-class StandIns:
-    """An upstream and discovery on a host of their own; both answer at once."""
+class StubServers:
+    """A stub upstream and a stub discovery service on one loopback address; both answer immediately."""
 
     def __init__(self, host: str) -> None:
         self.host = host
@@ -102,9 +102,9 @@
         self.upstream = ""
 
     async def start(self) -> str:
-        """Listen; gives the address of discovery. OSError where that can't be had."""
+        """Listen and return the address of discovery. Raises OSError if a socket can't be opened."""
         self.upstream = await self._listen(self._answer_request)
-        return await self._listen(self._answer_list)
+        return await self._listen(self._answer_discovery)
 
     async def _listen(self, answer: object) -> str:
         server = await asyncio.start_server(lambda r, w: self._serve(r, w, answer), self.host, 0)
@@ -126,13 +126,13 @@
     async def _answer_request(self, message: Message) -> bytes:
         return message.headers.get("req-id", "").encode()
 
-    async def _answer_list(self, message: Message) -> bytes:
+    async def _answer_discovery(self, message: Message) -> bytes:
         if "wait_ms" in message.first:
             await asyncio.sleep(1.0)
             return b'{"seq":1,"whole":false,"hosts":[]}'
-        return json.dumps(self.known()).encode()
+        return json.dumps(self.host_list()).encode()
 
-    def known(self) -> dict[str, object]:
+    def host_list(self) -> dict[str, object]:
         host = {"host": "s-1", "dial": self.upstream, "site": "a", "class": "m", "block": 0, "health": "up"}
         return {"seq": 1, "whole": True, "hosts": [{**host, "share": 1.0, "born_ms": 0}]}
 
@@ -141,16 +141,16 @@
             server.close()
 
 
-def _configuration(host: str, stand_ins: StandIns, discovery: str) -> dict[str, object]:
+def _configuration(host: str, stubs: StubServers, discovery: str) -> dict[str, object]:
     return {
         "name": "n0",
-        "listen": f"{host}:{PORT}",
+        "listen": f"{host}:{BALANCER_PORT}",
         "discovery": discovery,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "peer_listen": f"{host}:{PORT + 1}",
-        "peers": [f"{host}:{PORT + 1}"],
-        "known": stand_ins.known(),
+        "peer_listen": f"{host}:{BALANCER_PORT + 1}",
+        "peers": [f"{host}:{BALANCER_PORT + 1}"],
+        "known": stubs.host_list(),
         "settings": {
             "registry_mode": "push",
             "profiles": [{"name": "read", "repeat": "read_like", "aim_ns": 500_000_000}],
@@ -160,22 +160,22 @@
 
 
 class HostDelayMonitor:
-    """Whether this machine, and not the balancer, was slow in a span: the kit's loop was late, the balancer waited for
-    a processor, or the machine's host took its processors. The bounds are those of the rehearsals."""
+    """Measures how far this machine, and not the balancer, was slow since the monitor was made: the harness's event
+    loop ran late, the balancer waited for a processor, or the hypervisor took processor time."""
 
     def __init__(self, lateness: LatenessLog, pid: int) -> None:
         self._lateness, self.pid = lateness, pid
-        self._begun_s = asyncio.get_running_loop().time()
+        self._started_s = asyncio.get_running_loop().time()
         self._waited_ns, self._stolen_s = waited_ns(pid), stolen_s()
 
     async def measure(self) -> HostDelays:
-        """What the span lacked so far. The kernel counts a wait for a processor once it is over: the end of one that
-        goes on is waited for, a while."""
+        """The delays so far. The kernel adds a wait for a processor to its count only when it is over, so this gives
+        a wait in progress up to CPU_WAIT_SETTLE_S to end."""
         loop = asyncio.get_running_loop()
-        span_s, late_s = loop.time() - self._begun_s, self._lateness.most_s(self._begun_s)
-        first_ns, end_s = waited_ns(self.pid), loop.time() + WAIT_ENDS_WITHIN_S
-        while is_runnable(self.pid) and waited_ns(self.pid) == first_ns and loop.time() < end_s:
-            await asyncio.sleep(LOOK_S)
+        span_s, late_s = loop.time() - self._started_s, self._lateness.most_s(self._started_s)
+        initial_ns, end_s = waited_ns(self.pid), loop.time() + CPU_WAIT_SETTLE_S
+        while is_runnable(self.pid) and waited_ns(self.pid) == initial_ns and loop.time() < end_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
         return HostDelays(
             harness_late_s=late_s,
             balancer_cpu_wait_s=(waited_ns(self.pid) - self._waited_ns) / SECOND,
@@ -185,71 +185,74 @@
 
 
 class Client:
-    """One connection of a client."""
+    """A client with at most one open connection."""
 
-    def __init__(self, name: str, host: str, life: LifecycleResult, starvation: Callable[[], HostDelayMonitor]) -> None:
-        """`name`: which of a life's clients, for who reads of its faults."""
+    def __init__(
+        self, name: str, host: str, result: LifecycleResult, start_monitor: Callable[[], HostDelayMonitor]
+    ) -> None:
+        """`name` identifies the client in recorded faults."""
         self.name = name
-        self._host, self._life, self._starvation = host, life, starvation
+        self._host, self._result, self._start_monitor = host, result, start_monitor
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     @property
     def open(self) -> bool:
         return self._streams is not None
 
-    async def ask(self, may_cross: bool = False) -> bool:
-        """One request; what was wrong with its answer is noted. False if there was nobody to ask.
+    async def send_request(self, may_be_closed: bool = False) -> bool:
+        """Send one request and record what is wrong with its answer. False if the client could not connect.
 
-        `may_cross`: it is nobody's fault if a kept connection ends just then."""
-        kept = self._streams is not None
-        starvation = self._starvation()
-        if not kept:
+        `may_be_closed`: it is not a fault if the balancer closes a reused connection at the same moment."""
+        reused = self._streams is not None
+        monitor = self._start_monitor()
+        if not reused:
             try:
-                opening = asyncio.open_connection(self._host, PORT)
-                self._streams = await asyncio.wait_for(opening, ANSWER_WITHIN_S)
+                opening = asyncio.open_connection(self._host, BALANCER_PORT)
+                self._streams = await asyncio.wait_for(opening, ANSWER_TIMEOUT_S)
             except (OSError, TimeoutError):
                 return False
         problem = await self._exchange()
-        if problem and kept and may_cross and problem != NO_ANSWER:
+        if problem and reused and may_be_closed and problem != NO_ANSWER:
             self.close()
         elif problem:
-            where = f"request of {self.name} on a {'kept' if kept else 'new'} connection"
-            evidence = f"{self._connection()}; {state_of(starvation.pid)}"
-            self._life.record_fault(f"{where}: {problem} [{evidence}]", await starvation.measure())
+            where = f"request of {self.name} on a {'kept' if reused else 'new'} connection"
+            evidence = f"{self._describe_connection()}; {describe_process(monitor.pid)}"
+            self._result.record_fault(f"{where}: {problem} [{evidence}]", await monitor.measure())
             self.close()
         return True
 
     async def _exchange(self) -> str:
+        """Send a request and read its answer; returns what went wrong, or an empty string."""
         assert self._streams is not None
         reader, writer = self._streams
-        number = next(_numbers)
+        number = next(_request_ids)
         head = f"GET /read/x HTTP/1.1\r\nHost: a\r\nReq-Id: {number:x}\r\nReq-Deadline-Ms: {DEADLINE_MS}\r\n\r\n"
         framer = Framer(answers=True)
         try:
             writer.write(head.encode())
-            async with asyncio.timeout(ANSWER_WITHIN_S):
-                while not (messages := framer.feed(await self._some(reader))):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                while not (messages := framer.feed(await self._read_chunk(reader))):
                     pass
         except TimeoutError:
             return NO_ANSWER
         except (OSError, EOFError, Unreadable) as error:
             return f"connection ended, no whole answer ({type(error).__name__})"
         answer = messages[0]
-        self._life.answered[answer.status] = self._life.answered.get(answer.status, 0) + 1
+        self._result.answered[answer.status] = self._result.answered.get(answer.status, 0) + 1
         if not answer.keeps:
             self.close()
         if answer.status == 200 and answer.body != f"{number:x}".encode():
             return "an answer that its upstream did not make"
         return ""
 
-    def _connection(self) -> str:
-        """What the kernel knows of the connection."""
+    def _describe_connection(self) -> str:
+        """The kernel's state of the connection."""
         if self._streams is None:
             return "no connection"
         client = self._streams[1].get_extra_info("sockname")
-        return tcp_table.told_of(client, (self._host, PORT)) if client else "no connection"
+        return tcp_table.describe_connection(client, (self._host, BALANCER_PORT)) if client else "no connection"
 
-    async def _some(self, reader: asyncio.StreamReader) -> bytes:
+    async def _read_chunk(self, reader: asyncio.StreamReader) -> bytes:
         data = await reader.read(READ_BYTES)
         if not data:
             raise EOFError
@@ -263,13 +266,19 @@
 
 @contextlib.asynccontextmanager
 async def _process(
-    command: Sequence[str], settings: dict[str, object], folder: Path, told: dict[str, str]
+    command: Sequence[str], configuration: dict[str, object], folder: Path, environ: dict[str, str]
 ) -> AsyncIterator[subprocess.Popen[bytes]]:
-    (folder / "config.json").write_text(json.dumps(settings))
+    """The balancer process; killed on exit if it still runs."""
+    (folder / "config.json").write_text(json.dumps(configuration))
     (folder / "tmp").mkdir(exist_ok=True)
-    told = {**told, "RELAY_CONFIG": str(folder / "config.json"), "RELAY_NAME": "n0", "TMPDIR": str(folder / "tmp")}
+    environ = {
+        **environ,
+        "RELAY_CONFIG": str(folder / "config.json"),
+        "RELAY_NAME": "n0",
+        "TMPDIR": str(folder / "tmp"),
+    }
     with (folder / "log").open("wb") as log:
-        process = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=told)
+        process = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=environ)
     try:
         yield process
     finally:
@@ -278,7 +287,7 @@
         process.wait()
 
 
-async def play(
+async def run_lifecycle(
     command: Sequence[str],
     rules: Sequence[Rule],
     library: Path,
@@ -287,82 +296,87 @@
     lateness: LatenessLog,
     seed: int = 0,
 ) -> LifecycleResult:
-    """Start `command` on that loopback host, ask it, reload it, end it, while calls fail as the rules say."""
-    life = LifecycleResult([str(rule) for rule in rules])
-    stand_ins = StandIns(host)
+    """Start `command` on a loopback address, send requests, reload it and stop it, while calls fail by the rules."""
+    result = LifecycleResult([str(rule) for rule in rules])
+    stubs = StubServers(host)
     counts = folder / "counts"
     try:
-        discovery = await stand_ins.start()
-        told = environment(library, rules, counts, seed)
-        told["RELAY_ADMIN_ADDR"] = f"{host}:{PORT + 2}"
-        async with _process(command, _configuration(host, stand_ins, discovery), folder, told) as process:
-            await _live(process, life, host, lambda: HostDelayMonitor(lateness, process.pid))
+        discovery = await stubs.start()
+        environ = environment(library, rules, counts, seed)
+        environ["RELAY_ADMIN_ADDR"] = f"{host}:{BALANCER_PORT + 2}"
+        async with _process(command, _configuration(host, stubs, discovery), folder, environ) as process:
+            await _exercise(process, result, host, lambda: HostDelayMonitor(lateness, process.pid))
     except OSError as error:
-        life.not_valid = f"a stand-in: {error!r}; {life.faults}"
-        life.faults.clear()
+        result.not_valid = f"a stand-in: {error!r}; {result.faults}"
+        result.faults.clear()
     finally:
-        stand_ins.close()
-    life.counts = read_counts(counts)
-    if life.faults or life.not_valid:
-        life.log = (folder / "log").read_text(errors="replace").splitlines()[-KEPT_LINES:]
-    return life
+        stubs.close()
+    result.counts = read_counts(counts)
+    if result.faults or result.not_valid:
+        result.log = (folder / "log").read_text(errors="replace").splitlines()[-MAX_LOG_LINES:]
+    return result
 
 
-async def _live(
-    process: subprocess.Popen[bytes], life: LifecycleResult, host: str, starvation: Callable[[], HostDelayMonitor]
+async def _exercise(
+    process: subprocess.Popen[bytes],
+    result: LifecycleResult,
+    host: str,
+    start_monitor: Callable[[], HostDelayMonitor],
 ) -> None:
-    starting = starvation()
-    if not await _ready(process, life, host):
-        life.status = process.poll()
-        if life.status is None:
-            life.record_fault(f"not ready [{state_of(process.pid)}]", await starting.measure())
+    """Take the process through start, service, reload and shutdown, and record what goes wrong."""
+    startup = start_monitor()
+    if not await _wait_until_ready(process, result, host):
+        result.status = process.poll()
+        if result.status is None:
+            result.record_fault(f"not ready [{describe_process(process.pid)}]", await startup.measure())
         else:
-            life.record_fault(f"ended with status {life.status} before it was ready")
+            result.record_fault(f"ended with status {result.status} before it was ready")
         return
-    kept, resting = (
-        Client("the second client", host, life, starvation),
-        Client("the first client", host, life, starvation),
+    active, idle = (
+        Client("the second client", host, result, start_monitor),
+        Client("the first client", host, result, start_monitor),
     )
-    await resting.ask()
+    await idle.send_request()
     for _ in range(4):
-        if not await kept.ask():
-            life.faults.append("could not connect")
-    _send_datagrams(host)
+        if not await active.send_request():
+            result.faults.append("could not connect")
+    _send_stray_datagrams(host)
     process.send_signal(signal.SIGHUP)
     for _ in range(2):
-        fresh = Client("a client after SIGHUP", host, life, starvation)
-        if not await fresh.ask():
-            life.faults.append("could not connect")
+        fresh = Client("a client after SIGHUP", host, result, start_monitor)
+        if not await fresh.send_request():
+            result.faults.append("could not connect")
         fresh.close()
     if process.poll() is not None:
-        life.faults.append(f"ended with status {process.poll()} in service")
+        result.faults.append(f"ended with status {process.poll()} in service")
         return
-    await _end(process, life, host, kept, starvation)
-    resting.close()
-    kept.close()
+    await _shut_down(process, result, host, active, start_monitor)
+    idle.close()
+    active.close()
 
 
-def _send_datagrams(host: str) -> None:
-    """Some of nobody's, to where the balancer hears its peers."""
-    with socket.socket(type=socket.SOCK_DGRAM) as peer:
+def _send_stray_datagrams(host: str) -> None:
+    """Send datagrams from an unknown sender to the balancer's peer port."""
+    with socket.socket(type=socket.SOCK_DGRAM) as sender:
         for _ in range(3):
-            peer.sendto(b"x", (host, PORT + 1))
+            sender.sendto(b"x", (host, BALANCER_PORT + 1))
 
 
-async def _ready(process: subprocess.Popen[bytes], life: LifecycleResult, host: str) -> bool:
+async def _wait_until_ready(process: subprocess.Popen[bytes], result: LifecycleResult, host: str) -> bool:
+    """Whether the balancer reports ready before READY_TIMEOUT_S."""
     loop = asyncio.get_running_loop()
-    begun_s = loop.time()
-    while process.poll() is None and loop.time() < begun_s + READY_WITHIN_S:
+    started_s = loop.time()
+    while process.poll() is None and loop.time() < started_s + READY_TIMEOUT_S:
         with contextlib.suppress(OSError, TimeoutError, EOFError):
-            if await asyncio.wait_for(_says_ready(host), ANSWER_WITHIN_S):
-                life.ready_s = loop.time() - begun_s
+            if await asyncio.wait_for(_is_ready(host), ANSWER_TIMEOUT_S):
+                result.ready_s = loop.time() - started_s
                 return True
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return False
 
 
-async def _says_ready(host: str) -> bool:
-    reader, writer = await asyncio.open_connection(host, PORT)
+async def _is_ready(host: str) -> bool:
+    reader, writer = await asyncio.open_connection(host, BALANCER_PORT)
     try:
         writer.write(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
         return (await reader.read(READ_BYTES)).startswith(b"HTTP/1.1 200")
@@ -370,29 +384,30 @@
         writer.transport.abort()
 
 
-async def _end(
+async def _shut_down(
     process: subprocess.Popen[bytes],
-    life: LifecycleResult,
+    result: LifecycleResult,
     host: str,
-    kept: Client,
-    starvation: Callable[[], HostDelayMonitor],
+    client: Client,
+    start_monitor: Callable[[], HostDelayMonitor],
 ) -> None:
-    """SIGTERM, further signals behind it, and requests on the open connection for as long as it stays."""
+    """Send SIGTERM and then repeated SIGHUPs, with requests on the client's connection for as long as it is open."""
     loop = asyncio.get_running_loop()
-    kept.name = "the second client after SIGTERM"
-    ending = starvation()
+    client.name = "the second client after SIGTERM"
+    shutdown = start_monitor()
     process.send_signal(signal.SIGTERM)
-    told_s = loop.time()
-    while process.poll() is None and loop.time() < told_s + ENDED_WITHIN_S:
-        if kept.open or loop.time() < told_s + NEW_CONNECTIONS_S:
-            await kept.ask(may_cross=True)
-        await asyncio.sleep(LOOK_S)
+    signalled_s = loop.time()
+    while process.poll() is None and loop.time() < signalled_s + EXIT_TIMEOUT_S:
+        if client.open or loop.time() < signalled_s + NEW_CONNECTIONS_S:
+            await client.send_request(may_be_closed=True)
+        await asyncio.sleep(POLL_INTERVAL_S)
         with contextlib.suppress(ProcessLookupError):
             os.kill(process.pid, signal.SIGHUP)
-    life.status = process.poll()
-    if life.status is None:
-        life.record_fault(
-            f"still there {ENDED_WITHIN_S} s after SIGTERM [{state_of(process.pid)}]", await ending.measure()
+    result.status = process.poll()
+    if result.status is None:
+        result.record_fault(
+            f"still there {EXIT_TIMEOUT_S} s after SIGTERM [{describe_process(process.pid)}]",
+            await shutdown.measure(),
         )
-    elif life.status:
-        life.faults.append(f"ended with status {life.status} after SIGTERM")
+    elif result.status:
+        result.faults.append(f"ended with status {result.status} after SIGTERM")
--- a/lanemux/rehearsal/calls/process_state.py
+++ b/lanemux/rehearsal/calls/process_state.py
@@ -1,12 +1,12 @@
-"""What a process does at this moment: running, waiting in which system call, or stopped (Linux, /proc)."""
+"""What a process is doing now: running, blocked in which system call, or stopped (Linux, /proc)."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
 
-def state_of(pid: int) -> str:
-    """Its state as the kernel tells it, where in the kernel it waits, and in which system call, by number."""
+def describe_process(pid: int) -> str:
+    """The kernel's state letter, the kernel function in which the process waits, and the number of its system call."""
     try:
         state = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except (OSError, IndexError):
@@ -15,7 +15,7 @@
 
 
 def is_runnable(pid: int) -> bool:
-    """Does it run, or wait for a processor?"""
+    """Whether the process runs or waits for a processor."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "R"
     except (OSError, IndexError):
@@ -23,7 +23,7 @@
 
 
 def _read(pid: int, name: str) -> str:
-    """One of the files that only the process's owner may read; empty where the kernel does not tell."""
+    """A file of /proc/PID that only the process's owner may read; empty if the kernel refuses."""
     try:
         return Path(f"/proc/{pid}/{name}").read_text().strip()
     except OSError:
--- a/lanemux/rehearsal/calls/tcp_table.py
+++ b/lanemux/rehearsal/calls/tcp_table.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of one loopback connection, from both of its ends (Linux, /proc/net/tcp)."""
+"""The kernel's state of both ends of one loopback connection (Linux, /proc/net/tcp)."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 }
 
 
-def told_of(client: Address, balancer: Address) -> str:
-    """Both ends of a connection: state, bytes that wait to be read, whether a process has it."""
+def describe_connection(client: Address, balancer: Address) -> str:
+    """For both ends of a connection: the state, the unread bytes, and whether a process owns the socket."""
     try:
         lines = Path("/proc/net/tcp").read_text().splitlines()[1:]
     except OSError:
         return "the kernel's table can't be read"
-    return describe(lines, client, balancer)
+    return describe_rows(lines, client, balancer)
 
 
-def describe(lines: Iterable[str], client: Address, balancer: Address) -> str:
-    """The same from the lines of the kernel's table."""
+def describe_rows(lines: Iterable[str], client: Address, balancer: Address) -> str:
+    """Like `describe_connection`, from rows of /proc/net/tcp."""
     ends = {(_hexadecimal(client), _hexadecimal(balancer)): "client's end"}
     ends[_hexadecimal(balancer), _hexadecimal(client)] = "balancer's end"
     found = dict.fromkeys(ends.values(), "gone")
@@ -39,12 +39,12 @@
         name = ends.get((fields[1], fields[2]))
         if name is not None:
             unread = int(fields[4].partition(":")[2], 16)
-            held = "" if fields[9] != "0" else ", no process has it"
-            found[name] = f"{STATES.get(fields[3], fields[3])}, {unread} bytes unread{held}"
+            owner = "" if fields[9] != "0" else ", no process has it"  # inode 0: no process holds the socket
+            found[name] = f"{STATES.get(fields[3], fields[3])}, {unread} bytes unread{owner}"
     return "; ".join(f"{name} {state}" for name, state in found.items())
 
 
 def _hexadecimal(address: Address) -> str:
-    """As the kernel writes it: the bytes of the address in the order of this machine."""
+    """The address as /proc/net/tcp prints it: the IPv4 address as a number in this machine's byte order."""
     number = int.from_bytes(ipaddress.IPv4Address(address[0]).packed, sys.byteorder)
     return f"{number:08X}:{address[1]:04X}"
--- a/lanemux/rehearsal/soak/command.py
+++ b/lanemux/rehearsal/soak/command.py
@@ -14,14 +14,14 @@
 from pathlib import Path
 
 from lanemux.rehearsal import report
-from lanemux.rehearsal.calls.library import NoCompiler, build
-from lanemux.rehearsal.calls.rules import written
+from lanemux.rehearsal.calls.library import CompilerError, build_library
+from lanemux.rehearsal.calls.rules import format_rules
 from lanemux.rehearsal.command import BY_SIGNAL, EndedBySignal, rehearse_until_told
 from lanemux.rehearsal.rules import counts
 from lanemux.rehearsal.run import CannotRun, Run
 from lanemux.rehearsal.soak.draw import SECONDS, SoakRun, draw
 
-KEPT, BROKEN, BAD_USE, NOT_VALID = 0, 1, 2, 3
+ALL_PASSED, SOME_FAILED, USAGE_ERROR, NOT_VALID = 0, 1, 2, 3
 EVERY_CALL = "--every-call"  # instead of seeds: each call of one balancer fails in turn
 DEFAULT_SEEDS = "1-5"
 MAX_SEEDS = 10_000
@@ -63,7 +63,7 @@
         seeds = [options.replay] if options.replay is not None else list(read_seeds(options.seeds))
     except ValueError as error:
         print(f"lanemux: {error}", file=sys.stderr)
-        return BAD_USE
+        return USAGE_ERROR
     outcomes: list[Outcome] = []
     end_s = time.monotonic() + options.minutes * 60 if options.minutes else float("inf")
     for seed in seeds:
@@ -82,8 +82,8 @@
     failed = [o.seed for o in outcomes if o.failed]
     print(f"{len(outcomes)} seeds played, {sum(o.valid for o in outcomes)} valid, {len(failed)} failed {failed or ''}")
     if failed:
-        return BROKEN
-    return KEPT if any(o.valid for o in outcomes) else NOT_VALID
+        return SOME_FAILED
+    return ALL_PASSED if any(o.valid for o in outcomes) else NOT_VALID
 
 
 def read_seeds(text: str) -> Iterable[int]:
@@ -126,14 +126,14 @@
     if not run.calls:
         return []
     try:
-        library = build(folder)
-    except NoCompiler as error:
+        library = build_library(folder)
+    except CompilerError as error:
         print(f"lanemux: {error}: no calls of the C library fail", file=sys.stderr)
         return []
     return [
         "/usr/bin/env",
         f"LD_PRELOAD={library}",
-        f"LANEMUX_FAIL={written(run.calls)}",
+        f"LANEMUX_FAIL={format_rules(run.calls)}",
         f"LANEMUX_FAIL_SEED={run.seed}",
     ]
 
--- a/lanemux/rehearsal/soak/draw.py
+++ b/lanemux/rehearsal/soak/draw.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from lanemux.rehearsal.calls.rules import ERRORS, WHOLE_LIFE_MS, Rule
+from lanemux.rehearsal.calls.rules import TRANSIENT_ERRORS, WHOLE_RUN_MS, Rule
 from lanemux.rehearsal.injection_plan import HOLD_UP_S, ClockStep, Plan, Window
 from lanemux.rehearsal.scenario import (
     USUAL_PARTNERS,
@@ -100,7 +100,9 @@
         for kind in rng.sample(START_CALLS, rng.choice((1, 2, 3))):
             rules.append(Rule(kind, _lasting_error(rng, kind), 0, rng.randint(*START_CALLS_MS), timed=True))
     for kind in rng.sample(SERVICE_CALLS, rng.choice((0, 1, 2, 3))):
-        rules.append(Rule(kind, rng.choice(ERRORS[kind]), 0, WHOLE_LIFE_MS, True, rng.choice(SERVICE_PER_MILLE)))
+        rules.append(
+            Rule(kind, rng.choice(TRANSIENT_ERRORS[kind]), 0, WHOLE_RUN_MS, True, rng.choice(SERVICE_PER_MILLE))
+        )
     if rng.random() < 0.3:
         begin_ms = rng.randint(2000, 5000)
         kind = rng.choice(BURST_CALLS)
@@ -112,7 +114,7 @@
     """One that every call of a span may meet. EINTR is none: it comes with a signal, and Python makes the call again
     at once, so that a span of it only keeps a processor busy inside the interpreter. Nor is EAGAIN: it says that there
     is nothing to be read, or no room, and the kernel does not say so for a span where there is."""
-    return rng.choice([error for error in ERRORS[kind] if error not in ("EINTR", "EAGAIN")])
+    return rng.choice([error for error in TRANSIENT_ERRORS[kind] if error not in ("EINTR", "EAGAIN")])
 
 
 def _draw_injection(seed: int, rng: random.Random, deadline_ms: float) -> Plan:
--- a/tests/rehearsal/test_every_call.py
+++ b/tests/rehearsal/test_every_call.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lanemux.rehearsal.calls.command import ALL_GOOD, BAD_USE, NOT_VALID, SOME_BAD, main
+from lanemux.rehearsal.calls.command import ALL_PASSED, NOT_VALID, SOME_FAILED, USAGE_ERROR, main
 from lanemux.rehearsal.calls.library import COMPILERS
 
 pytestmark = pytest.mark.skipif(not any(map(shutil.which, COMPILERS)), reason="no C compiler")
@@ -30,18 +30,18 @@
     build: str, kinds: str, places: int, capsys: pytest.CaptureFixture[str]
 ) -> None:
     words = ["--every-call", "--quiet", "--kinds", kinds, "--places", str(places)]
-    assert main([*words, "--command", sys.executable, "-m", f"{BROKEN}.{build}"]) == SOME_BAD
+    assert main([*words, "--command", sys.executable, "-m", f"{BROKEN}.{build}"]) == SOME_FAILED
     printed = capsys.readouterr().out
     assert f"BAD {kinds} " in printed and "replay: " in printed
 
 
 def test_a_bad_life_is_played_again_by_what_was_printed(tmp_path: Path) -> None:
     words = ["--every-call", "--replay", "send:105:t0-60000:300", "--json", str(tmp_path / "lives.json"), "--command"]
-    assert main([*words, sys.executable, "-m", f"{BROKEN}.write_error_ends_connection"]) == SOME_BAD
-    assert main([*words, sys.executable, "-m", "lanemux"]) == ALL_GOOD
+    assert main([*words, sys.executable, "-m", f"{BROKEN}.write_error_ends_connection"]) == SOME_FAILED
+    assert main([*words, sys.executable, "-m", "lanemux"]) == ALL_PASSED
 
 
 def test_bad_use_and_a_program_that_never_starts_are_told(capsys: pytest.CaptureFixture[str]) -> None:
-    assert main(["--every-call", "--replay", "nothing"]) == BAD_USE
+    assert main(["--every-call", "--replay", "nothing"]) == USAGE_ERROR
     assert main(["--every-call", "--command", sys.executable, "-c", "pass"]) == NOT_VALID
     assert "no rule" in capsys.readouterr().err
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -15,7 +15,7 @@
 from lanemux.rehearsal.injection_plan import BadPlan, Plan, Window, read_plan
 from lanemux.rehearsal.plan import draw as draw_plan
 from lanemux.rehearsal.plan import earliest_kill_ns
-from lanemux.rehearsal.soak.command import BROKEN, KEPT, NOT_VALID, read_seeds
+from lanemux.rehearsal.soak.command import ALL_PASSED, NOT_VALID, SOME_FAILED, read_seeds
 from lanemux.rehearsal.soak.draw import draw
 
 ROOT = Path(__file__).parent.parent.parent
@@ -77,14 +77,14 @@
 
 def test_a_short_soak_of_this_build_keeps_every_rule(tmp_path: Path) -> None:
     status, outcomes, said = soak(tmp_path, "--seeds", "1-3")
-    assert status in (KEPT, NOT_VALID), said
+    assert status in (ALL_PASSED, NOT_VALID), said
     assert [outcome["crashes"] for outcome in outcomes if outcome["valid"]] in ([], [[]], [[]] * 2, [[]] * 3), said
 
 
 @pytest.mark.parametrize(("defect", "seeds"), [("signals_end_it", "5-6"), ("drops_requests_at_the_end", "3-4")])
 def test_a_build_with_a_defect_is_found(tmp_path: Path, defect: str, seeds: str) -> None:
     status, outcomes, said = soak(tmp_path, "--seeds", seeds, "--module", f"tests.rehearsal.broken.{defect}")
-    assert status in (BROKEN, NOT_VALID), said
+    assert status in (SOME_FAILED, NOT_VALID), said
     assert any(outcome["crashes"] or outcome["faults"] for outcome in outcomes), said
     for outcome in outcomes:
         accused = outcome["valid"] and outcome["faults"]
--- a/tests/rehearsal/test_tcp_table.py
+++ b/tests/rehearsal/test_tcp_table.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from lanemux.rehearsal.calls.tcp_table import told_of
+from lanemux.rehearsal.calls.tcp_table import describe_connection
 
 
 def test_a_request_that_nobody_accepted_or_read_is_told() -> None:
@@ -12,12 +12,14 @@
         client.connect(listener.getsockname())
         client.sendall(b"abc")
         ends = client.getsockname(), listener.getsockname()
-        assert "balancer's end established, 3 bytes unread, no process has it" in told_of(*ends)
+        assert "balancer's end established, 3 bytes unread, no process has it" in describe_connection(*ends)
         accepted, _ = listener.accept()
-        assert "balancer's end established, 3 bytes unread" in told_of(*ends)
-        assert "no process" not in told_of(*ends)
+        assert "balancer's end established, 3 bytes unread" in describe_connection(*ends)
+        assert "no process" not in describe_connection(*ends)
         assert accepted.recv(10) == b"abc"
-        assert "balancer's end established, 0 bytes unread" in told_of(*ends)
+        assert "balancer's end established, 0 bytes unread" in describe_connection(*ends)
         accepted.close()
-        assert "balancer's end closed by it" in told_of(*ends) and "client's end closed by the other" in told_of(*ends)
-    assert told_of(*ends).startswith("client's end")
+        assert "balancer's end closed by it" in describe_connection(
+            *ends
+        ) and "client's end closed by the other" in describe_connection(*ends)
+    assert describe_connection(*ends).startswith("client's end")
