--- a/lanemux/rehearsal/soak/__init__.py
+++ b/lanemux/rehearsal/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: short runs drawn from seeds, with failing system calls inside the balancers and restarts around them."""
+"""Soak tests: short rehearsals drawn from seeds, with failing system calls inside the balancers and with restarts."""
--- a/lanemux/rehearsal/soak/draw.py
+++ b/lanemux/rehearsal/soak/draw.py
@@ -1,4 +1,4 @@
-"""What one seed of a soak plays: a scenario of the kit and the failures inside the balancers. No I/O, no clock."""
+"""Derives a soak run from a seed: the rehearsal scenario and the failures in the balancers. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 )
 
 SECONDS = 8.0  # of one run
-FINAL_ANSWER_GRACE_MS = 500.0  # a final answer that is so late earns nothing, and is not lost
+FINAL_ANSWER_GRACE_MS = 500.0  # a final answer up to this late earns nothing but does not count as lost
 USE_ENDING = 0.6
 WORK_MS = 40.0  # mean work of a request
-LOAD = (0.2, 0.55)  # of what all boxes can do: with some of them down the rest can still serve half of it
-SERVICE_LEAST = 0.5  # of what was asked: half, as the operators' gate wants it
+LOAD_RANGE = (0.2, 0.55)  # share of the capacity of all boxes: with some down, the others can still serve half of it
+SERVICE_LEAST = 0.5  # share of the requested service: half, the operators' acceptance limit
 START_ERRORS = (
     ("socket", "ENOBUFS"),
     ("socket", "EMFILE"),
@@ -36,14 +36,14 @@
     ("listen", "EADDRINUSE"),
     ("read_file", "EIO"),
 )
-START_FAILS_S = (0.3, 1.5)
-OUTAGE_S = (0.8, 2.0)  # no socket to be had, in service
-ACCEPT_OUTAGE_S = 0.2  # no connection can be accepted, in service, for so long at the least
-ANSWERABLE = 0.33  # of a deadline; an outage of accepting must leave time for a final answer to the shortest try
-WALL_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
+START_FAILURE_S = (0.3, 1.5)
+SOCKET_OUTAGE_S = (0.8, 2.0)  # how long no socket can be opened while in service
+MIN_ACCEPT_OUTAGE_S = 0.2  # shortest time for which no connection can be accepted while in service
+MAX_ACCEPT_OUTAGE_SHARE = 0.33  # of the deadline: must leave time for a final answer to the shortest try
+WALL_CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
 DEADLINES_MS = (300.0, 600.0, 1500.0)
 MANY_BALANCERS = 12
-FEW_RESTARTED = (0.05, 0.15)
+SMALL_RESTART_PART = (0.05, 0.15)
 START_CALLS = ("open", "opendir", "read", "stat", "dlopen", "close", "epoll_ctl", "socket", "bind", "fcntl")
 START_CALLS_MS = (100, 2000)
 SERVICE_CALLS = (
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class SoakRun:
-    """All that a seed decides."""
+    """Everything that a seed determines."""
 
     seed: int
     scenario: Scenario
@@ -73,7 +73,7 @@
 
 
 def draw(seed: int, seconds: float = SECONDS, balancers: int | None = None) -> SoakRun:
-    """What this seed plays; the same for the same seed, length and number of balancers (None: a drawn one)."""
+    """The run of a seed; deterministic for a seed, length and number of balancers (None: drawn)."""
     rng = random.Random(f"soak/{seed}")
     deadline_ms = rng.choice(DEADLINES_MS)
     injection = _draw_injection(seed, rng, deadline_ms)
@@ -84,57 +84,61 @@
 
 
 def _with_balancers(scenario: Scenario, balancers: int, seconds: float) -> Scenario:
-    """The same with so many. Where they are many, a smaller part is restarted, over a longer span, and without a
-    flood beside it: this machine's processors must bear the starts."""
+    """The scenario with that many balancers. With more than MANY_BALANCERS, a smaller part is restarted over a longer
+    span and without a flood, so that the starts don't overload this machine's processors."""
     faults = scenario.faults
     if balancers > MANY_BALANCERS:
-        restart = replace(faults[0], part=FEW_RESTARTED, for_s=seconds * 0.4)
+        restart = replace(faults[0], part=SMALL_RESTART_PART, for_s=seconds * 0.4)
         faults = (restart, *(fault for fault in faults[1:] if fault.kind != "flood"))
     return replace(scenario, fleet=replace(scenario.fleet, balancers=balancers), faults=faults)
 
 
 def _draw_calls(rng: random.Random) -> list[Rule]:
-    """Calls that fail from the first one of a process on, a share of them in service, and all of a kind for a while."""
+    """Failing calls: all of a kind during startup, a share of a kind in service, all of a kind for a short span."""
     rules = []
     if rng.random() < 0.6:
         for kind in rng.sample(START_CALLS, rng.choice((1, 2, 3))):
-            rules.append(Rule(kind, _lasting_error(rng, kind), 0, rng.randint(*START_CALLS_MS), timed=True))
+            rules.append(Rule(kind, _persistent_error(rng, kind), 0, rng.randint(*START_CALLS_MS), timed=True))
     for kind in rng.sample(SERVICE_CALLS, rng.choice((0, 1, 2, 3))):
         rules.append(
             Rule(kind, rng.choice(TRANSIENT_ERRORS[kind]), 0, WHOLE_RUN_MS, True, rng.choice(SERVICE_PER_MILLE))
         )
     if rng.random() < 0.3:
-        begin_ms = rng.randint(2000, 5000)
+        from_ms = rng.randint(2000, 5000)
         kind = rng.choice(BURST_CALLS)
-        rules.append(Rule(kind, _lasting_error(rng, kind), begin_ms, begin_ms + rng.randint(100, 400), timed=True))
+        rules.append(Rule(kind, _persistent_error(rng, kind), from_ms, from_ms + rng.randint(100, 400), timed=True))
     return rules
 
 
-def _lasting_error(rng: random.Random, kind: str) -> str:
-    """One that every call of a span may meet. EINTR is none: it comes with a signal, and Python makes the call again
-    at once, so that a span of it only keeps a processor busy inside the interpreter. Nor is EAGAIN: it says that there
-    is nothing to be read, or no room, and the kernel does not say so for a span where there is."""
+def _persistent_error(rng: random.Random, kind: str) -> str:
+    """An error that every call in a span can realistically return. That excludes EINTR, which comes with a signal:
+    Python repeats the call at once, so a span of it only keeps a processor busy inside the interpreter. It also
+    excludes EAGAIN: the kernel does not report for a whole span that there is nothing to read or no room to write when
+    there is."""
     return rng.choice([error for error in TRANSIENT_ERRORS[kind] if error not in ("EINTR", "EAGAIN")])
 
 
 def _draw_injection(seed: int, rng: random.Random, deadline_ms: float) -> Plan:
+    """Failures that the injection module makes inside each balancer process."""
     windows = []
     if rng.random() < 0.6:
         call, error = rng.choice(START_ERRORS)
-        windows.append(Window(call, error, rng.uniform(*START_FAILS_S)))
+        windows.append(Window(call, error, rng.uniform(*START_FAILURE_S)))
     if rng.random() < 0.3:
         from_s = rng.uniform(2.0, 5.0)
-        accept_s = rng.uniform(ACCEPT_OUTAGE_S, ANSWERABLE * deadline_ms / 1000 + FINAL_ANSWER_GRACE_MS / 2000)
+        accept_s = rng.uniform(
+            MIN_ACCEPT_OUTAGE_S, MAX_ACCEPT_OUTAGE_SHARE * deadline_ms / 1000 + FINAL_ANSWER_GRACE_MS / 2000
+        )
         windows += [
-            Window("socket", "EMFILE", from_s + rng.uniform(*OUTAGE_S), from_s),
+            Window("socket", "EMFILE", from_s + rng.uniform(*SOCKET_OUTAGE_S), from_s),
             Window("accept", "EMFILE", from_s + accept_s, from_s),
         ]
-    steps = [ClockStep(rng.uniform(1.0, 6.0), rng.choice(WALL_STEPS_S)) for _ in range(rng.choice((0, 0, 1, 3)))]
+    steps = [ClockStep(rng.uniform(1.0, 6.0), rng.choice(WALL_CLOCK_STEPS_S)) for _ in range(rng.choice((0, 0, 1, 3)))]
     return Plan(
         seed=seed,
         windows=windows,
         clock_steps=steps,
-        wall_offset_s=rng.choice((0.0, 0.0, *WALL_STEPS_S)),
+        wall_offset_s=rng.choice((0.0, 0.0, *WALL_CLOCK_STEPS_S)),
         accept_share=rng.choice((0.0, 0.1, 0.33)),
         connect_share=rng.choice((0.0, 0.1, 0.3)),
         socket_share=rng.choice((0.0, 0.0, 0.05)),
@@ -169,7 +173,7 @@
             classes=classes,
             partners=USUAL_PARTNERS,
             fleet=Fleet(boxes=boxes, balancers=balancers, cold_s=(2.0, 4.0), cold_worst_s=4.0),
-            load=Load(rate=rng.uniform(*LOAD) * boxes * 1000 / WORK_MS),
+            load=Load(rate=rng.uniform(*LOAD_RANGE) * boxes * 1000 / WORK_MS),
             callers=Callers(
                 grace_ms=FINAL_ANSWER_GRACE_MS,
                 use_ending=USE_ENDING,
@@ -186,7 +190,7 @@
 
 
 def _draw_faults(rng: random.Random, seconds: float) -> list[Fault]:
-    """One release of the balancers on every seed, and two or three troubles beside it."""
+    """A rolling restart of the balancers, which every seed has, and two or three other faults."""
     faults = [
         Fault(
             "restart",
