--- a/tests/faults/modules.py
+++ b/tests/faults/modules.py
@@ -1,4 +1,4 @@
-"""Decisions that the tests of failing calls put in the module's place."""
+"""Scripted policies that the fault injection tests use instead of the real one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def sends_once(timeout_ns: int = 0) -> Script:
-    """Sends each request to the first upstream, once, and fails it when that comes to nothing."""
+    """Sends each request to the first upstream once and refuses it if that attempt fails."""
     script = Script()
 
     def react(event: api.Event) -> Iterable[api.Action]:
--- a/tests/faults/program.py
+++ b/tests/faults/program.py
@@ -1,4 +1,4 @@
-"""The balancer as a process of its own, with failures injected into its system calls."""
+"""The balancer as a child process, with failures injected into its system calls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def free_port() -> int:
-    """A port of HOST that is free now."""
+    """A port of HOST that is currently free."""
     import socket
 
     with socket.socket() as probe:
@@ -26,7 +26,7 @@
 
 
 class Program:
-    """A running balancer; its log is read as it comes, so that it never waits for a reader."""
+    """A running balancer; its log is read continuously, so that it never blocks on a full pipe."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
@@ -38,22 +38,22 @@
         while line := await self.process.stderr.readline():
             self.lines.append(line.decode())
 
-    def said(self, words: str) -> list[str]:
-        return [line for line in self.lines if words in line]
+    def lines_with(self, text: str) -> list[str]:
+        return [line for line in self.lines if text in line]
 
-    async def until_said(self, words: str) -> str:
+    async def wait_for_line(self, text: str) -> str:
         async with asyncio.timeout(PATIENCE_S):
-            while not self.said(words):
-                assert not self._reading.done(), f"it ended and never said {words!r}: {self.lines}"
+            while not self.lines_with(text):
+                assert not self._reading.done(), f"it ended and never logged {text!r}: {self.lines}"
                 await asyncio.sleep(0.005)
-        return self.said(words)[0]
+        return self.lines_with(text)[0]
 
-    async def ready(self) -> int:
-        """Its port, once it serves."""
-        return int((await self.until_said("ready on port")).split()[-1])
+    async def wait_until_ready(self) -> int:
+        """Wait until it serves; returns its port."""
+        return int((await self.wait_for_line("ready on port")).split()[-1])
 
-    async def ended(self) -> int:
-        """Its exit status."""
+    async def wait_for_exit(self) -> int:
+        """Wait for the process to end; returns its exit status."""
         status = await asyncio.wait_for(self.process.wait(), PATIENCE_S)
         await asyncio.wait_for(self._reading, PATIENCE_S)
         return status
@@ -63,16 +63,16 @@
 async def balancer(
     folder: Path, plan: Plan, configuration: dict[str, object] | None = None, **environment: str
 ) -> AsyncIterator[Program]:
-    """Started, not ready yet; killed at the end unless it has ended."""
-    path, injected = folder / "config.json", folder / "plan.json"
+    """A started balancer, not ready yet; killed on exit if it still runs."""
+    path, plan_path = folder / "config.json", folder / "plan.json"
     if not path.exists():
         path.write_text(json.dumps(configuration or config()))
-    injected.write_text(plan.text())
+    plan_path.write_text(plan.text())
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "lanemux.rehearsal.injection",
-        str(injected),
+        str(plan_path),
         "lanemux",
         stderr=PIPE,
         env={**os.environ, "RELAY_CONFIG": str(path), **environment},
@@ -83,4 +83,4 @@
     finally:
         if process.returncode is None:
             process.kill()
-        await program.ended()
+        await program.wait_for_exit()
--- a/tests/faults/test_connect.py
+++ b/tests/faults/test_connect.py
@@ -1,4 +1,4 @@
-"""Failures of this machine's own calls in service: they say nothing of upstreams and cost no client its answer."""
+"""Failures of local calls in service are not attributed to upstreams and cost no client its answer."""
 
 from __future__ import annotations
 
@@ -19,80 +19,85 @@
 from tests.sockets import MS, Upstream, answers, node, request, run, until
 from tests.test_process import ask, config
 
-FAILS_S = 0.3
-LOCAL = ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"]
+FAILURE_S = 0.3
+LOCAL_ERRORS = ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"]
 
 
 def connect_fails(monkeypatch: pytest.MonkeyPatch, port: int, error: str, for_s: float) -> list[float]:
-    """Connecting to that port fails at once for so long; the times of the failures."""
-    number, plain, end, failed = getattr(errno, error), socket.socket.connect, time.monotonic() + for_s, list[float]()
+    """Make connects to `port` fail immediately for `for_s` seconds; returns the times of the failures."""
+    number, original_connect, end_s, failed = (
+        getattr(errno, error),
+        socket.socket.connect,
+        time.monotonic() + for_s,
+        list[float](),
+    )
 
     def connect(self: socket.socket, address: Any) -> None:
-        if address[1] == port and time.monotonic() < end:
+        if address[1] == port and time.monotonic() < end_s:
             failed.append(time.monotonic())
             raise OSError(number, error)
-        plain(self, address)
+        original_connect(self, address)
 
     monkeypatch.setattr(socket.socket, "connect", connect)
     return failed
 
 
-@pytest.mark.parametrize("error", [*LOCAL, "ENETUNREACH"])
-def test_a_connect_that_this_machine_fails_for_a_moment_is_no_failure_of_the_upstream(
+@pytest.mark.parametrize("error", [*LOCAL_ERRORS, "ENETUNREACH"])
+def test_a_connect_that_fails_locally_for_a_moment_is_not_a_failure_of_the_upstream(
     monkeypatch: pytest.MonkeyPatch, error: str
 ) -> None:
     async def test() -> None:
         upstream, script = await Upstream(answers(200)).start(), sends_once()
         async with node(script, upstream) as client:
-            failed = connect_fails(monkeypatch, upstream.port, error, FAILS_S)
+            failed = connect_fails(monkeypatch, upstream.port, error, FAILURE_S)
             assert (await client.ask(request())).status == 200
             assert [outcome.result for outcome in script.of(api.Outcome)] == [api.Result.OK]
-            assert 1 <= len(failed) < 60  # it pauses between two tries
+            assert 1 <= len(failed) < 60  # it pauses between tries
             assert sum(client.node.tally.failed_calls["connection to an upstream"].values()) == len(failed)
 
     run(test())
 
 
-@pytest.mark.parametrize("error", LOCAL)
-def test_an_attempt_that_never_left_this_machine_is_not_held_against_the_upstream(
+@pytest.mark.parametrize("error", LOCAL_ERRORS)
+def test_an_attempt_that_never_left_this_machine_is_reported_as_not_sent(
     monkeypatch: pytest.MonkeyPatch, error: str
 ) -> None:
     async def test() -> None:
         upstream, script = await Upstream(answers(200)).start(), sends_once(100 * MS)
         async with node(script, upstream, connect_timeout_ns=50 * MS) as client:
-            connect_fails(monkeypatch, upstream.port, error, FAILS_S)
+            connect_fails(monkeypatch, upstream.port, error, FAILURE_S)
             assert (await client.ask(request())).status == 503
             assert [outcome.result for outcome in script.of(api.Outcome)] == [api.Result.NOT_SENT]
 
     run(test())
 
 
-def test_descriptors_that_are_all_gone_for_three_seconds_come_back_into_use(tmp_path: Path) -> None:
+def test_service_resumes_after_three_seconds_without_free_descriptors(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = await Upstream(answers(200)).start()
-        gone = [Window(call, "EMFILE", from_s=1.0, until_s=4.0) for call in ("socket", "accept")]
-        async with balancer(tmp_path, Plan(windows=gone), config(upstream.port)) as program:
-            port = await program.ready()
-            began = time.monotonic()
+        no_descriptors = [Window(call, "EMFILE", from_s=1.0, until_s=4.0) for call in ("socket", "accept")]
+        async with balancer(tmp_path, Plan(windows=no_descriptors), config(upstream.port)) as program:
+            port = await program.wait_until_ready()
+            started = time.monotonic()
             statuses = []
-            while time.monotonic() < began + 4.0:
+            while time.monotonic() < started + 4.0:
                 statuses.append((await ask(port, request(deadline_ms=3000))).status)
                 await asyncio.sleep(0.02)
             assert statuses[-1] == 200 and set(statuses) <= {200, 503}
             program.process.send_signal(signal.SIGTERM)
-            assert await program.ended() == 0
+            assert await program.wait_for_exit() == 0
         upstream.stop()
 
     run(test())
 
 
-def test_short_reads_and_writes_and_hold_ups_change_no_request(tmp_path: Path) -> None:
+def test_short_reads_and_writes_and_delays_change_no_request(tmp_path: Path) -> None:
     async def test() -> None:
         body = bytes(range(256)) * 40
         upstream = await Upstream(answers(200, body)).start()
         plan = Plan(seed=7, short_share=0.5, hold_up_share=0.02, accept_share=0.3, connect_share=0.3)
         async with balancer(tmp_path, plan, config(upstream.port)) as program:
-            port = await program.ready()
+            port = await program.wait_until_ready()
             for i in range(12):
                 got = await ask(port, request(f"/read/{i}?q=1", "Req-Owner: acme", name=f"{i:016x}"))
                 assert got.status == 200 and got.body == body
--- a/tests/faults/test_deadlines.py
+++ b/tests/faults/test_deadlines.py
@@ -1,4 +1,4 @@
-"""What an upstream is told of a client's time, where the request lay unread in this machine's sockets for a while."""
+"""The deadline sent to an upstream accounts for the time that a request waited unread in this machine's sockets."""
 
 from __future__ import annotations
 
@@ -19,89 +19,89 @@
 from tests.test_process import config
 
 DEADLINE_MS = 2000
-LAY_S = 0.6
-SLACK_MS = 150
+WAIT_S = 0.6
+TOLERANCE_MS = 150
 
 
-class Watch(Upstream):
-    """An upstream that notes how much time is left, by what it is told, beside what the client has."""
+class DeadlineRecorder(Upstream):
+    """An upstream that records how far the remaining time that it is sent exceeds what the client has left."""
 
     def __init__(self) -> None:
-        super().__init__(self._note)
-        self.sent_s = 0.0  # the client's last byte
-        self.over_ms: list[float] = []
+        super().__init__(self._record)
+        self.sent_s = 0.0  # when the client sent its last byte
+        self.excess_ms: list[float] = []
 
-    async def _note(self, got: Got, writer: Writer) -> None:
+    async def _record(self, got: Got, writer: Writer) -> None:
         left_ms = DEADLINE_MS - (time.monotonic() - self.sent_s) * 1000
-        self.over_ms.append(int(got.headers["req-deadline-ms"]) - left_ms)
+        self.excess_ms.append(int(got.headers["req-deadline-ms"]) - left_ms)
         writer.write(written(200))
 
 
 def test_a_request_that_waited_to_be_accepted_has_less_time_left(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        upstream = Watch()
+        upstream = DeadlineRecorder()
         await upstream.start()
         async with node(sends_once(), upstream) as client:
-            plain, end = socket.socket.accept, time.monotonic() + LAY_S
+            original_accept, end_s = socket.socket.accept, time.monotonic() + WAIT_S
 
             def accept(self: socket.socket) -> tuple[socket.socket, Any]:
-                if self.getsockname()[1] == client.port and time.monotonic() < end:
+                if self.getsockname()[1] == client.port and time.monotonic() < end_s:
                     raise OSError(errno.ENFILE, "ENFILE")
-                return plain(self)
+                return original_accept(self)
 
             monkeypatch.setattr(socket.socket, "accept", accept)
             upstream.sent_s = time.monotonic()
             assert (await client.ask(request(deadline_ms=DEADLINE_MS))).status == 200
-            assert upstream.over_ms[0] < SLACK_MS
+            assert upstream.excess_ms[0] < TOLERANCE_MS
             upstream.sent_s = time.monotonic()
             assert (await client.ask(request(deadline_ms=DEADLINE_MS))).status == 200
-            assert -SLACK_MS < upstream.over_ms[1] < SLACK_MS  # the next one did not wait
+            assert -TOLERANCE_MS < upstream.excess_ms[1] < TOLERANCE_MS  # the next one did not wait
 
     run(test())
 
 
-def test_a_request_that_waited_for_its_connection_to_an_upstream_tells_what_is_left_then(
+def test_a_request_that_waited_for_its_connection_to_an_upstream_sends_the_time_left_then(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        upstream = Watch()
+        upstream = DeadlineRecorder()
         await upstream.start()
         async with node(sends_once(), upstream) as client:
             loop = asyncio.get_running_loop()
-            plain = loop.create_connection
+            create_connection = loop.create_connection
 
-            async def late(*arguments: Any, **options: Any) -> Any:
+            async def delayed_connection(*arguments: Any, **options: Any) -> Any:
                 if arguments[1:] == (HOST, upstream.port):
-                    await asyncio.sleep(LAY_S)
-                return await plain(*arguments, **options)
+                    await asyncio.sleep(WAIT_S)
+                return await create_connection(*arguments, **options)
 
-            monkeypatch.setattr(loop, "create_connection", late)
-            await client.send(b"")  # it is connected before the clock runs
+            monkeypatch.setattr(loop, "create_connection", delayed_connection)
+            await client.send(b"")  # connect before the time is taken
             upstream.sent_s = time.monotonic()
             assert (await client.ask(request(deadline_ms=DEADLINE_MS))).status == 200
-            assert -SLACK_MS < upstream.over_ms[0] < SLACK_MS
+            assert -TOLERANCE_MS < upstream.excess_ms[0] < TOLERANCE_MS
 
     run(test())
 
 
-def test_a_request_that_waited_for_a_process_at_a_standstill_has_less_time_left(tmp_path: Path) -> None:
+def test_a_request_that_waited_for_a_stopped_process_has_less_time_left(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Watch()
+        upstream = DeadlineRecorder()
         await upstream.start()
         async with balancer(tmp_path, Plan(), config(upstream.port)) as program:
-            reader, writer = await asyncio.open_connection(HOST, await program.ready())
-            for stands_still in (False, True, False):
-                if stands_still:
+            reader, writer = await asyncio.open_connection(HOST, await program.wait_until_ready())
+            for is_stopped in (False, True, False):
+                if is_stopped:
                     program.process.send_signal(signal.SIGSTOP)
                     await asyncio.sleep(0.2)
                 writer.write(request(deadline_ms=DEADLINE_MS))
                 upstream.sent_s = time.monotonic()
-                if stands_still:
-                    await asyncio.sleep(LAY_S)
+                if is_stopped:
+                    await asyncio.sleep(WAIT_S)
                     program.process.send_signal(signal.SIGCONT)
                 assert (await read(reader)).status == 200
                 await asyncio.sleep(0.2)
-            assert all(-SLACK_MS < over < SLACK_MS for over in upstream.over_ms)
+            assert all(-TOLERANCE_MS < excess < TOLERANCE_MS for excess in upstream.excess_ms)
             writer.close()
         upstream.stop()
 
--- a/tests/faults/test_every_call.py
+++ b/tests/faults/test_every_call.py
@@ -1,4 +1,4 @@
-"""No single failing call of the C library ends a balancer, keeps it from starting, hangs it or costs a request."""
+"""No single failing C library call crashes a balancer, prevents its start, hangs it or costs a request."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     spread_positions,
 )
 
-AT_ONCE = 6
-PLACES = 4  # of each kind of call that fail here, a life each; `lanemux soak --every-call` plays more
-IMPORTS_MS = 400
+CONCURRENT_RUNS = 6
+POSITIONS_PER_KIND = 4  # failing calls of each kind, each in a run of its own; `lanemux soak --every-call` uses more
+IMPORT_FAILURE_MS = 400
 COMMAND = [sys.executable, "-m", "lanemux"]
 needs_compiler = pytest.mark.skipif(not any(map(shutil.which, COMPILERS)), reason="no C compiler")
 
@@ -37,56 +37,56 @@
 
 @pytest.fixture(scope="module")
 def calls(library: Path, tmp_path_factory: pytest.TempPathFactory) -> dict[str, int]:
-    """How often a life in which nothing fails makes each kind of call."""
-    (life,) = asyncio.run(run_lifecycles(COMMAND, [[]], library, tmp_path_factory.mktemp("plain"), 1))
-    assert not life.faults, life.log
-    return {kind: counts.since for kind, counts in life.counts.items()}
-
-
-def expect_good_lives(lives: Sequence[Sequence[Rule]], library: Path, folder: Path) -> None:
-    """Play them; a life that could not be judged fails the test too, and what was wrong is printed whole."""
-    played = asyncio.run(run_lifecycles(COMMAND, lives, library, folder, AT_ONCE))
-    assert any(life.failed_calls for life in played)
-    bad = [
-        "\n".join([f"{life.rules}: {life.faults} {life.not_valid}", *life.log])
-        for life in played
-        if life.faults or life.not_valid
+    """How many calls of each kind a run without failures makes."""
+    (baseline,) = asyncio.run(run_lifecycles(COMMAND, [[]], library, tmp_path_factory.mktemp("plain"), 1))
+    assert not baseline.faults, baseline.log
+    return {kind: counts.since for kind, counts in baseline.counts.items()}
+
+
+def expect_no_faults(rule_sets: Sequence[Sequence[Rule]], library: Path, folder: Path) -> None:
+    """Run them and fail with all details if a run failed or could not be judged."""
+    results = asyncio.run(run_lifecycles(COMMAND, rule_sets, library, folder, CONCURRENT_RUNS))
+    assert any(result.failed_calls for result in results)
+    failures = [
+        "\n".join([f"{result.rules}: {result.faults} {result.not_valid}", *result.log])
+        for result in results
+        if result.faults or result.not_valid
     ]
-    if bad:
-        pytest.fail("\n".join(bad), pytrace=False)
+    if failures:
+        pytest.fail("\n".join(failures), pytrace=False)
 
 
 @needs_compiler
 @pytest.mark.parametrize("kind", TRANSIENT_ERRORS)
-def test_single_failing_calls_leave_a_life_as_it_is(
-    kind: str, library: Path, calls: dict[str, int], tmp_path: Path
-) -> None:
-    lives = [rules for rules in single_failures(calls, PLACES) if rules[0].kind == kind and not rules[0].timed]
-    assert lives, f"a life makes no call of this kind: {calls}"
-    expect_good_lives(lives, library, tmp_path)
+def test_single_failing_calls_cause_no_fault(kind: str, library: Path, calls: dict[str, int], tmp_path: Path) -> None:
+    rule_sets = [
+        rules for rules in single_failures(calls, POSITIONS_PER_KIND) if rules[0].kind == kind and not rules[0].timed
+    ]
+    assert rule_sets, f"a run makes no call of this kind: {calls}"
+    expect_no_faults(rule_sets, library, tmp_path)
 
 
 @needs_compiler
 @pytest.mark.parametrize(("kind", "most"), [("epoll_ctl", 12), ("write", 8), ("setsockopt", 6), ("fcntl", 12)])
 def test_each_of_the_first_calls_may_fail(kind: str, most: int, library: Path, tmp_path: Path) -> None:
-    lives = [
+    rule_sets = [
         [Rule(kind, error, number, number)] for error in TRANSIENT_ERRORS[kind][:2] for number in range(1, most + 1)
     ]
-    expect_good_lives(lives, library, tmp_path)
+    expect_no_faults(rule_sets, library, tmp_path)
 
 
 @needs_compiler
 @pytest.mark.parametrize("kind", ["open", "opendir", "read", "stat", "dlopen", "close"])
 def test_a_start_whose_imports_fail_for_a_while_comes_up(kind: str, library: Path, tmp_path: Path) -> None:
-    lives = [[Rule(kind, error, 0, IMPORTS_MS, timed=True)] for error in TRANSIENT_ERRORS[kind]]
-    expect_good_lives(lives, library, tmp_path)
+    rule_sets = [[Rule(kind, error, 0, IMPORT_FAILURE_MS, timed=True)] for error in TRANSIENT_ERRORS[kind]]
+    expect_no_faults(rule_sets, library, tmp_path)
 
 
 @needs_compiler
 @pytest.mark.parametrize("kind", ["epoll_ctl", "socket", "bind", "accept", "fcntl", "write", "setsockopt"])
 def test_a_start_whose_sockets_fail_for_a_while_comes_up(kind: str, library: Path, tmp_path: Path) -> None:
-    lives = [[Rule(kind, error, 0, 1500, timed=True)] for error in TRANSIENT_ERRORS[kind]]
-    expect_good_lives(lives, library, tmp_path)
+    rule_sets = [[Rule(kind, error, 0, 1500, timed=True)] for error in TRANSIENT_ERRORS[kind]]
+    expect_no_faults(rule_sets, library, tmp_path)
 
 
 @needs_compiler
@@ -94,16 +94,14 @@
 def test_a_write_or_read_that_fails_for_a_moment_costs_no_request(
     kind: str, error: str, library: Path, tmp_path: Path
 ) -> None:
-    lives = [[Rule(kind, error, 0, 60_000, True, share)] for share in (50, 100, 300)]
-    expect_good_lives(lives, library, tmp_path)
+    rule_sets = [[Rule(kind, error, 0, 60_000, True, share)] for share in (50, 100, 300)]
+    expect_no_faults(rule_sets, library, tmp_path)
 
 
 @needs_compiler
 @pytest.mark.parametrize("first", range(1, 25, 6))
-def test_random_combinations_leave_a_life_as_it_is(
-    first: int, library: Path, calls: dict[str, int], tmp_path: Path
-) -> None:
-    expect_good_lives([random_combination(seed, calls) for seed in range(first, first + 6)], library, tmp_path)
+def test_random_combinations_cause_no_fault(first: int, library: Path, calls: dict[str, int], tmp_path: Path) -> None:
+    expect_no_faults([random_combination(seed, calls) for seed in range(first, first + 6)], library, tmp_path)
 
 
 def test_rules_are_read_as_they_were_written() -> None:
@@ -115,7 +113,7 @@
             parse_rules(text)
 
 
-def test_the_places_of_failing_calls_are_spread_over_all() -> None:
+def test_the_positions_of_failing_calls_are_spread_evenly() -> None:
     assert spread_positions(3, 60) == [1, 2, 3]
     assert spread_positions(600, 3) == [1, 300, 600] or spread_positions(600, 3) == [1, 301, 600]
     assert len(spread_positions(600, 60)) == 60
--- a/tests/faults/test_files.py
+++ b/tests/faults/test_files.py
@@ -1,4 +1,4 @@
-"""Files that are promised to last: synced before and after they are renamed; what can't be kept is told."""
+"""Durable files: the file is synced before its rename, the folder after it, and a failure is reported."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 OLD, NEW = b"old", b"new" * 1000
 
 
-def failing(monkeypatch: pytest.MonkeyPatch, call: str, nth: int, error: int) -> None:
-    """The nth call of that name in `os` fails."""
-    plain, left = getattr(os, call), [nth]
+def make_call_fail(monkeypatch: pytest.MonkeyPatch, call: str, nth: int, error: int) -> None:
+    """Make the nth call of `os.<call>` fail."""
+    original, calls_left = getattr(os, call), [nth]
 
     def fail(*arguments: Any, **options: Any) -> Any:
-        left[0] -= 1
-        if left[0] == 0:
+        calls_left[0] -= 1
+        if calls_left[0] == 0:
             raise OSError(error, os.strerror(error))
-        return plain(*arguments, **options)
+        return original(*arguments, **options)
 
     monkeypatch.setattr(os, call, fail)
 
@@ -50,13 +50,13 @@
 
 @pytest.mark.parametrize(("call", "nth"), [("fsync", 1), ("replace", 1), ("fsync", 2)])
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC])
-def test_a_file_that_cannot_be_kept_is_told_and_read_whole(
+def test_a_failed_write_is_reported_and_leaves_the_old_or_the_new_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, nth: int, error: int
 ) -> None:
     path = tmp_path / "word"
     path.write_bytes(OLD)
-    failing(monkeypatch, call, nth, error)
+    make_call_fail(monkeypatch, call, nth, error)
     with pytest.raises(OSError):
         Machine().write_atomic(str(path), NEW)
     assert path.read_bytes() in (OLD, NEW)
-    assert [p.name for p in tmp_path.iterdir()] == ["word"]  # nothing half made is left
+    assert [p.name for p in tmp_path.iterdir()] == ["word"]  # no partial file is left
--- a/tests/rehearsal/test_every_call.py
+++ b/tests/rehearsal/test_every_call.py
@@ -1,4 +1,4 @@
-"""The lives with single failing calls find builds that have one defect of that class each."""
+"""The runs with single failing calls detect builds that have one such defect each."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     assert f"BAD {kinds} " in printed and "replay: " in printed
 
 
-def test_a_bad_life_is_played_again_by_what_was_printed(tmp_path: Path) -> None:
+def test_a_failed_run_is_replayed_from_its_printed_rules(tmp_path: Path) -> None:
     words = ["--every-call", "--replay", "send:105:t0-60000:300", "--json", str(tmp_path / "lives.json"), "--command"]
     assert main([*words, sys.executable, "-m", f"{BROKEN}.write_error_ends_connection"]) == SOME_FAILED
     assert main([*words, sys.executable, "-m", "lanemux"]) == ALL_PASSED
 
 
-def test_bad_use_and_a_program_that_never_starts_are_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_usage_errors_and_a_program_that_never_starts_are_reported(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["--every-call", "--replay", "nothing"]) == USAGE_ERROR
     assert main(["--every-call", "--command", sys.executable, "-c", "pass"]) == NOT_VALID
     assert "no rule" in capsys.readouterr().err
--- a/tests/rehearsal/test_process_state.py
+++ b/tests/rehearsal/test_process_state.py
@@ -1,4 +1,4 @@
-"""A process that stands still is told from one that computes or is gone."""
+"""A stopped process is distinguished from a running one and from one that has ended."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lanemux.rehearsal.calls.process_state import describe_process
 
 
-def test_a_stopped_process_shows() -> None:
+def test_a_stopped_process_is_recognized() -> None:
     with subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"]) as process:
         process.send_signal(signal.SIGSTOP)
         end_s = time.monotonic() + 5
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what a seed draws, a short one on this build, and builds with one defect each that it finds."""
+"""The soak test: what a seed draws, a short soak of this build, and builds with one defect each that it detects."""
 
 from __future__ import annotations
 
@@ -24,18 +24,28 @@
 
 
 def soak(folder: Path, *words: str) -> tuple[int, list[dict[str, object]], str]:
-    """Exit status, how each seed ended, and what was printed."""
-    told = folder / "soak.json"
-    ended = subprocess.run(
-        [sys.executable, "-m", "lanemux", "soak", "--json", str(told), "--evidence", str(folder / "evidence"), *words],
+    """The exit status, the outcome of each seed, and the standard output."""
+    json_path = folder / "soak.json"
+    finished = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "lanemux",
+            "soak",
+            "--json",
+            str(json_path),
+            "--evidence",
+            str(folder / "evidence"),
+            *words,
+        ],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
         check=False,
     )
-    assert told.is_file(), ended.stderr
-    return ended.returncode, json.loads(told.read_text())["outcomes"], ended.stdout
+    assert json_path.is_file(), finished.stderr
+    return finished.returncode, json.loads(json_path.read_text())["outcomes"], finished.stdout
 
 
 def test_a_seed_draws_the_same_run_each_time() -> None:
@@ -47,14 +57,14 @@
     for seed in range(40):
         run = draw(seed)
         plan = draw_plan(run.scenario, seed)
-        ends = [h for h in plan.happenings if h.what == "restart"]
-        assert ends and all(h.until_ns - h.at_ns == earliest_kill_ns(run.scenario) for h in ends)
+        restarts = [h for h in plan.happenings if h.what == "restart"]
+        assert restarts and all(h.until_ns - h.at_ns == earliest_kill_ns(run.scenario) for h in restarts)
         longest = max(c.deadline_ms for c in run.scenario.classes) / 1000
         assert earliest_kill_ns(run.scenario) == pytest.approx((min(3.0, longest) + 0.7) * SECOND)
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", '{"speed": 1}', '{"windows": [{"call": "socket"}]}', '{"windows": 3}'])
-def test_a_plan_that_is_none_is_refused(text: str) -> None:
+def test_an_invalid_plan_is_rejected(text: str) -> None:
     with pytest.raises(BadPlan):
         read_plan(text)
 
@@ -70,29 +80,29 @@
 
 
 @pytest.mark.parametrize("text", ["", "x", "5-3", "1-x", "1-100000"])
-def test_seeds_that_are_none_are_refused(text: str) -> None:
+def test_invalid_seeds_are_rejected(text: str) -> None:
     with pytest.raises(ValueError, match="seeds"):
         read_seeds(text)
 
 
 def test_a_short_soak_of_this_build_keeps_every_rule(tmp_path: Path) -> None:
-    status, outcomes, said = soak(tmp_path, "--seeds", "1-3")
-    assert status in (ALL_PASSED, NOT_VALID), said
-    assert [outcome["crashes"] for outcome in outcomes if outcome["valid"]] in ([], [[]], [[]] * 2, [[]] * 3), said
+    status, outcomes, output = soak(tmp_path, "--seeds", "1-3")
+    assert status in (ALL_PASSED, NOT_VALID), output
+    assert [outcome["crashes"] for outcome in outcomes if outcome["valid"]] in ([], [[]], [[]] * 2, [[]] * 3), output
 
 
 @pytest.mark.parametrize(("defect", "seeds"), [("signals_end_it", "5-6"), ("drops_requests_at_the_end", "3-4")])
 def test_a_build_with_a_defect_is_found(tmp_path: Path, defect: str, seeds: str) -> None:
-    status, outcomes, said = soak(tmp_path, "--seeds", seeds, "--module", f"tests.rehearsal.broken.{defect}")
-    assert status in (SOME_FAILED, NOT_VALID), said
-    assert any(outcome["crashes"] or outcome["faults"] for outcome in outcomes), said
+    status, outcomes, output = soak(tmp_path, "--seeds", seeds, "--module", f"tests.rehearsal.broken.{defect}")
+    assert status in (SOME_FAILED, NOT_VALID), output
+    assert any(outcome["crashes"] or outcome["faults"] for outcome in outcomes), output
     for outcome in outcomes:
-        accused = outcome["valid"] and outcome["faults"]
-        assert not accused or (tmp_path / "evidence" / str(outcome["seed"]) / "timeline.txt").exists()
+        needs_evidence = outcome["valid"] and outcome["faults"]
+        assert not needs_evidence or (tmp_path / "evidence" / str(outcome["seed"]) / "timeline.txt").exists()
 
 
 def test_a_soak_that_is_ended_by_a_signal_leaves_no_balancer_behind(tmp_path: Path) -> None:
-    soaking = subprocess.Popen(
+    process = subprocess.Popen(
         [sys.executable, "-m", "lanemux", "soak", "--seeds", "1-3", "--evidence", str(tmp_path)],
         cwd=ROOT,
         env={**os.environ, "TMPDIR": str(tmp_path)},
@@ -102,15 +112,15 @@
         while not balancers(tmp_path):
             assert time.monotonic() < end
             time.sleep(0.05)
-        soaking.send_signal(signal.SIGTERM)
-        assert soaking.wait(TIMEOUT_S) == 128 + signal.SIGTERM
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(TIMEOUT_S) == 128 + signal.SIGTERM
         assert balancers(tmp_path) == []
     finally:
-        soaking.kill()
+        process.kill()
 
 
 def balancers(folder: Path) -> list[str]:
-    """The processes that were started with a plan of this folder."""
+    """The ids of the processes that were started with a plan in `folder`."""
     found = []
     for process in Path("/proc").glob("[0-9]*/cmdline"):
         try:
--- a/tests/rehearsal/test_tcp_table.py
+++ b/tests/rehearsal/test_tcp_table.py
@@ -1,4 +1,4 @@
-"""Where a request stands that got no answer: the kernel's table tells an unread one from one that was taken."""
+"""The kernel's TCP table tells whether an unanswered request was never accepted, not read, or read."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lanemux.rehearsal.calls.tcp_table import describe_connection
 
 
-def test_a_request_that_nobody_accepted_or_read_is_told() -> None:
+def test_a_request_that_was_not_accepted_or_not_read_is_recognized() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as client:
         client.connect(listener.getsockname())
         client.sendall(b"abc")
