--- a/tests/rehearsal/test_starvation.py
+++ b/tests/rehearsal/test_starvation.py
@@ -10,69 +10,69 @@
 import pytest
 
 from lanemux.rehearsal.balancers import cpu_steal_s
-from lanemux.rehearsal.calls import life
-from lanemux.rehearsal.calls.life import Life, Shortage, Starvation
+from lanemux.rehearsal.calls import lifecycle
+from lanemux.rehearsal.calls.lifecycle import HostDelayMonitor, HostDelays, LifecycleResult
 from lanemux.rehearsal.loop_timing import LoopLagLog
 
 
 def test_a_late_harness_is_reported_only_for_its_span(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(life, "is_runnable", lambda pid: False)
+    monkeypatch.setattr(lifecycle, "is_runnable", lambda pid: False)
 
-    async def test() -> tuple[Shortage, Shortage]:
+    async def test() -> tuple[HostDelays, HostDelays]:
         log = LoopLagLog(asyncio.get_running_loop())
         await asyncio.sleep(0.02)
-        stalled = Starvation(log, os.getpid())
+        stalled = HostDelayMonitor(log, os.getpid())
         time.sleep(0.2)
-        during_stall = await stalled.look()
+        during_stall = await stalled.measure()
         await asyncio.sleep(0.02)
-        after_stall = Starvation(log, os.getpid())
+        after_stall = HostDelayMonitor(log, os.getpid())
         await asyncio.sleep(0.02)
-        second = await after_stall.look()
+        second = await after_stall.measure()
         log.stop()
         return during_stall, second
 
     during_stall, after_stall = asyncio.run(test())
-    assert during_stall.kit_late_s > 0.1 and during_stall.explains
-    assert after_stall.kit_late_s < 0.1
+    assert during_stall.harness_late_s > 0.1 and during_stall.over_limit
+    assert after_stall.harness_late_s < 0.1
 
 
 def test_a_wait_for_a_cpu_is_counted_once_it_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
     waits_ns, runnable = iter((0, 0, 0, 0, 900_000_000, 900_000_000)), iter((True, True, True, True, False))
-    monkeypatch.setattr(life, "cpu_wait_ns", lambda pid: next(waits_ns))
-    monkeypatch.setattr(life, "is_runnable", lambda pid: next(runnable))
+    monkeypatch.setattr(lifecycle, "cpu_wait_ns", lambda pid: next(waits_ns))
+    monkeypatch.setattr(lifecycle, "is_runnable", lambda pid: next(runnable))
 
-    async def test() -> Shortage:
+    async def test() -> HostDelays:
         log = LoopLagLog(asyncio.get_running_loop())
-        found = await Starvation(log, os.getpid()).look()
+        found = await HostDelayMonitor(log, os.getpid()).measure()
         log.stop()
         return found
 
-    assert asyncio.run(test()).balancer_waited_s == 0.9
+    assert asyncio.run(test()).balancer_cpu_wait_s == 0.9
 
 
 @pytest.mark.parametrize(
     ("shortage", "explains"),
     [
-        (Shortage(0.04, 0.04, 0.04), False),
-        (Shortage(0.06, 0.0, 0.0), True),
-        (Shortage(0.0, 0.06, 0.0), True),
-        (Shortage(0.0, 0.0, 0.06), True),
-        (Shortage(0.4, 0.4, 0.4, span_s=10.0), False),
-        (Shortage(0.6, 0.0, 0.0, span_s=10.0), True),
-        (Shortage(0.0, 0.6, 0.0, span_s=10.0), True),
+        (HostDelays(0.04, 0.04, 0.04), False),
+        (HostDelays(0.06, 0.0, 0.0), True),
+        (HostDelays(0.0, 0.06, 0.0), True),
+        (HostDelays(0.0, 0.0, 0.06), True),
+        (HostDelays(0.4, 0.4, 0.4, span_s=10.0), False),
+        (HostDelays(0.6, 0.0, 0.0, span_s=10.0), True),
+        (HostDelays(0.0, 0.6, 0.0, span_s=10.0), True),
     ],
 )
-def test_a_shortage_over_the_limits_of_a_valid_run_explains_a_fault(shortage: Shortage, explains: bool) -> None:
-    assert shortage.explains == explains
+def test_a_shortage_over_the_limits_of_a_valid_run_explains_a_fault(shortage: HostDelays, explains: bool) -> None:
+    assert shortage.over_limit == explains
 
 
 def test_a_fault_explained_by_a_shortage_hides_no_other_fault() -> None:
-    explained, mixed = Life([]), Life([])
-    explained.accuse("no answer", Shortage(0.2, 0.0, 0.0))
-    assert not explained.bad and "kit late 200 ms" in explained.not_valid
-    mixed.accuse("no answer", Shortage(0.2, 0.0, 0.0))
-    mixed.accuse("no answer", Shortage(0.0, 0.0, 0.0))
-    assert mixed.bad
+    explained, mixed = LifecycleResult([]), LifecycleResult([])
+    explained.record_fault("no answer", HostDelays(0.2, 0.0, 0.0))
+    assert not explained.has_faults and "kit late 200 ms" in explained.not_valid
+    mixed.record_fault("no answer", HostDelays(0.2, 0.0, 0.0))
+    mixed.record_fault("no answer", HostDelays(0.0, 0.0, 0.0))
+    assert mixed.has_faults
 
 
 def test_stolen_time_is_the_mean_of_the_processors(monkeypatch: pytest.MonkeyPatch) -> None:
