--- a/lanemux/policy.py
+++ b/lanemux/policy.py
@@ -316,7 +316,7 @@
         super().__init__(me)
         self.zones, self.kinds = zones, kinds
         self.overlap = 1.0  # mean number of proxies that have an upstream of this home in theirs
-        self.draw_size = 0  # length of the part of `reach` that it draws from
+        self.draw_size = 0  # length of the part of `candidates` that it draws from
         self.last_pick: Server | None = None  # the previous pick
         self.queue: RemovableQueue[Request] = RemovableQueue()
         self.blocked_ns = 0  # since when no upstream has been available to the queue
